--- a/packages/ragworthollow/src/ragworthollow/exchange/__init__.py
+++ b/packages/ragworthollow/src/ragworthollow/exchange/__init__.py
@@ -1,4 +1,4 @@
-"""Hold what one request and its answers say, apart from any wire."""
+"""Describe a request and its answers independently of any protocol."""
 
 from ragworthollow.exchange.answer_marks import AnswerMarks
 from ragworthollow.exchange.request_terms import PromptPart, RequestTerms
--- a/packages/ragworthollow/src/ragworthollow/exchange/answer_marks.py
+++ b/packages/ragworthollow/src/ragworthollow/exchange/answer_marks.py
@@ -1,4 +1,4 @@
-"""Define what an upstream's answer says beside its body."""
+"""Define the metadata of an upstream's answer."""
 
 from dataclasses import dataclass
 
@@ -8,31 +8,33 @@
 @dataclass(frozen=True, kw_only=True, slots=True)
 class AnswerMarks:
     """
-    Hold the marks of one answer.
+    Hold what one answer says besides its body.
 
     Attributes
     ----------
     request_id : str
-        Request that the answer belongs to, as the upstream says.
+        Request that the answer belongs to, according to the upstream.
     is_signed : bool
-        Whether the upstream has signed it.
+        Whether the upstream has signed the answer.
     is_not_run : bool
-        Whether it proves that the request has not run and will not.
+        Whether the answer proves that the request has not run and will not
+        run.
     is_misdirected : bool
-        Whether another incarnation listens at the address.
+        Whether an incarnation other than the intended one listens at the
+        address.
     load : InstanceLoad or None
-        Load of the upstream.
+        Load that the upstream reports; None if it reports none.
     is_leaving : bool
-        Whether the upstream has begun to stop.
+        Whether the upstream has begun to shut down.
     pause_ms : float or None
-        For how long the upstream wants nothing from this process.
+        How long the upstream asks this process to send no requests.
     warm_up_left_ms : float
-        How much longer the upstream warms up; 0 where it does not say.
+        Remaining warm-up time of the upstream; 0 if it does not report one.
     limit_per_s : float or None
-        Requests a second that the upstream takes from all gateways together;
-        None where it names no limit.
+        Requests per second that the upstream accepts from all gateways
+        together; None if it states no limit.
     unreadable_limit : str
-        What stands where a limit should, if that is no limit.
+        Text of the limit header if it cannot be parsed; empty otherwise.
     """
 
     request_id: str
--- a/packages/ragworthollow/src/ragworthollow/exchange/request_terms.py
+++ b/packages/ragworthollow/src/ragworthollow/exchange/request_terms.py
@@ -1,4 +1,4 @@
-"""Define the terms on which a caller asks for an answer."""
+"""Define the parameters of a caller's request."""
 
 from dataclasses import dataclass
 
@@ -6,14 +6,14 @@
 @dataclass(frozen=True, kw_only=True, slots=True)
 class PromptPart:
     """
-    Name one part of a prompt, which other prompts may share.
+    Describe one part of a prompt, which other prompts may share.
 
     Attributes
     ----------
     part : str
         Identifier of the text.
     tokens : int
-        Its length.
+        Length of the part.
     """
 
     part: str
@@ -23,26 +23,26 @@
 @dataclass(frozen=True, kw_only=True, slots=True)
 class RequestTerms:
     """
-    Hold what decides how a request is served.
+    Hold the parameters that determine how a request is served.
 
     Attributes
     ----------
     request_id : str
-        Identifier of this attempt of the caller.
+        Identifier of this attempt by the caller.
     key : str
-        Key presented by the caller; empty for none.
+        API key presented by the caller; empty for none.
     time_limit_ms : float or None
-        How long the caller will wait; None when it did not say.
+        How long the caller will wait; None if not specified.
     prompt_parts : tuple of PromptPart
-        Parts of the prompt in order; the last is the request's own.
+        Parts of the prompt in order; the last is specific to this request.
     prompt_tokens, output_tokens : int
-        Length of the prompt, and the most tokens to generate.
+        Length of the prompt, and the maximum number of tokens to generate.
     piece_counts : tuple of int
-        Pieces of each stage, by position; 0 leaves a stage out.
+        Number of pieces of each stage, by position; 0 skips the stage.
     piece_key : str
-        What stages without inputs read.
+        Key of the data that stages without inputs read.
     last_event_id : str
-        Event after which a stream is to go on; empty to begin.
+        Event after which a stream resumes; empty to start from the beginning.
     """
 
     request_id: str
@@ -59,8 +59,8 @@
         """
         Return the deepest prompt part that other requests may share.
 
-        The parts before it follow from it, since engines reuse a part only
-        behind all earlier ones.
+        The part identifies all parts before it, since engines reuse a cached
+        part only if all earlier ones match as well.
         """
         if not self.prompt_parts:
             return ''
--- a/packages/ragworthollow/src/ragworthollow/exchange/upstream_order.py
+++ b/packages/ragworthollow/src/ragworthollow/exchange/upstream_order.py
@@ -1,4 +1,4 @@
-"""Define what one attempt tells its upstream."""
+"""Define the metadata that an attempt sends to its upstream."""
 
 from dataclasses import dataclass
 
@@ -6,22 +6,22 @@
 @dataclass(frozen=True, kw_only=True, slots=True)
 class UpstreamOrder:
     """
-    Hold what this system adds to a caller's request.
+    Hold what the gateway adds to a caller's request.
 
     Attributes
     ----------
     instance : str
-        Incarnation that is meant; any other must refuse.
+        Intended incarnation; any other must refuse the request.
     organisation : str
-        Organisation that holds the caller's key; empty for none.
+        Organisation that owns the caller's key; empty for none.
     time_limit_ms : float
-        Time that is left.
+        Remaining time.
     priority : int or None
-        Rank among the upstream's requests, 0 first.
+        Priority among the upstream's requests; 0 is the most urgent.
     inputs : tuple of str
-        Handles of stage results.
+        Handles of the stage results that the request reads.
     last_event_id : str
-        Event after which a stream goes on.
+        Event after which a stream resumes; empty to start from the beginning.
     """
 
     instance: str
--- a/packages/ragworthollow/src/ragworthollow/exchange/usual_limits.py
+++ b/packages/ragworthollow/src/ragworthollow/exchange/usual_limits.py
@@ -1,4 +1,4 @@
-"""Tell callers that come back from those that come for the first time."""
+"""Distinguish retried requests from first ones by their time limits."""
 
 import statistics
 from collections import deque
@@ -8,13 +8,14 @@
 
 class UsualLimits:
     """
-    Know the time limit with which the callers of each route come first.
-
-    A caller that was refused and comes back says how long it will still
-    wait, which is less than before by what has passed.  Most requests are
-    first ones, so that the median of the recent limits is theirs.  Some
-    callers are less patient than most by habit: a limit that comes again and
-    again is theirs, while what is left after a pause differs each time.
+    Track the time limits that callers of each route usually send.
+
+    A caller that retries after a refusal sends its remaining time, which is
+    shorter than its original limit by the time already spent.  Most requests
+    are first attempts, so the median of the recent limits is the limit of a
+    first attempt.  Some callers always send a shorter limit than most: a
+    limit that recurs is taken as such a caller's own, since the time that
+    remains after a pause differs on every retry.
     """
 
     def __init__(self) -> None:
@@ -22,31 +23,31 @@
 
     def note(self, route: str, limit_ms: float) -> float:
         """
-        Take the limit of a request.
+        Record the limit of a request.
 
         Parameters
         ----------
         route : str
-            Name of its route.
+            Name of the request's route.
         limit_ms : float
-            How long its caller will wait.
+            How long the caller will wait.
 
         Returns
         -------
         float
-            How long the caller has waited before, in milliseconds; 0 for a
-            first request.
+            Estimated time in milliseconds that the caller has already waited;
+            0 for a first attempt.
         """
         recent = self._recent.setdefault(
             route,
             deque(maxlen=global_settings.USUAL_LIMIT_SAMPLES),
         )
-        alike = sum(
-            abs(one - limit_ms) <= global_settings.LIMIT_TOLERANCE_MS
-            for one in recent
+        matching = sum(
+            abs(recent_ms - limit_ms) <= global_settings.LIMIT_TOLERANCE_MS
+            for recent_ms in recent
         )
         recent.append(limit_ms)
-        if alike >= global_settings.USUAL_LIMIT_REPEATS:
+        if matching >= global_settings.USUAL_LIMIT_REPEATS:
             return 0
         waited_ms = statistics.median(recent) - limit_ms
         if waited_ms < global_settings.WAITED_LEAST_MS:
--- a/packages/ragworthollow/src/ragworthollow/outcomes/__init__.py
+++ b/packages/ragworthollow/src/ragworthollow/outcomes/__init__.py
@@ -1,4 +1,4 @@
-"""Name how an attempt can end and why it was refused."""
+"""Define the outcomes of an attempt and the reasons for a refusal."""
 
 from ragworthollow.outcomes.outcome import Outcome
 from ragworthollow.outcomes.reason import Reason
--- a/packages/ragworthollow/src/ragworthollow/outcomes/outcome.py
+++ b/packages/ragworthollow/src/ragworthollow/outcomes/outcome.py
@@ -1,19 +1,19 @@
-"""Define the four ways an attempt ends."""
+"""Define the four outcomes of an attempt."""
 
 import enum
 
 
 class Outcome(enum.StrEnum):
-    """State what is known about the effect of an attempt."""
+    """Describe what is known about the effect of an attempt."""
 
     done = 'done'
-    """The whole answer is present."""
+    """The complete answer was received."""
 
     not_run = 'not_run'
-    """Nothing reached an upstream, and whoever says so can prove it."""
+    """No upstream ran the request, and whoever reports this can prove it."""
 
     failed = 'failed'
-    """The upstream ran it and answered with an error."""
+    """The upstream ran the request and answered with an error."""
 
     unknown = 'unknown'
-    """It may have run."""
+    """The request may have run."""
--- a/packages/ragworthollow/src/ragworthollow/outcomes/reason.py
+++ b/packages/ragworthollow/src/ragworthollow/outcomes/reason.py
@@ -1,10 +1,10 @@
-"""Name every reason for a refusal or a failure."""
+"""Define every reason for a refusal or a failure."""
 
 import enum
 
 
 class Reason(enum.StrEnum):
-    """Say why a request or an attempt did not end in a whole answer."""
+    """Describe why a request or an attempt has no complete answer."""
 
     bad_request = 'bad_request'
     body_too_large = 'body_too_large'
--- a/packages/ragworthollow/src/ragworthollow/outcomes/refusal.py
+++ b/packages/ragworthollow/src/ragworthollow/outcomes/refusal.py
@@ -1,4 +1,4 @@
-"""Define the error that every hop answers with."""
+"""Define the error body that every process answers with."""
 
 from ragworthollow.outcomes.outcome import Outcome
 from ragworthollow.outcomes.reason import Reason
@@ -7,22 +7,22 @@
 
 class Refusal(Message):
     """
-    Say that an attempt or a request has no whole answer.
+    Describe why an attempt or a request has no complete answer.
 
     Attributes
     ----------
     outcome : Outcome
         Never `done`.
     reason : Reason
-        Why, as counted in the metrics.
+        Reason, as counted in the metrics.
     step : str
-        Stage or internal step at which it arose.
+        Stage or internal step at which the error occurred.
     peer : str
-        Instance that said so, or that did not answer.
+        Instance that reported the error, or that did not answer.
     detail : str
-        One sentence for a person; holds no caller's key.
+        One sentence for a human reader; never contains a caller's key.
     retry_after_ms : int or None
-        When coming back is worth it; None when it never is.
+        Delay before a retry is worthwhile; None when it never is.
     """
 
     outcome: Outcome
--- a/packages/ragworthollow/src/ragworthollow/pieces/__init__.py
+++ b/packages/ragworthollow/src/ragworthollow/pieces/__init__.py
@@ -1,4 +1,4 @@
-"""Fill calls with pieces of stages, across requests."""
+"""Batch the pieces of stages into calls, across requests."""
 
 from ragworthollow.pieces.announced_work import (
     AnnouncedWork,
--- a/packages/ragworthollow/src/ragworthollow/pieces/announced_work.py
+++ b/packages/ragworthollow/src/ragworthollow/pieces/announced_work.py
@@ -9,12 +9,12 @@
 
 class AnnouncedWork:
     """
-    Hold the pieces of requests that are on their way to a gate.
+    Count the future pieces of admitted requests by pool and priority.
 
-    A request reaches its later stages hundreds of milliseconds after it was
-    admitted.  A gate that counts only its queue lets requests in all that
-    time after its instances are full: all of them spend work on their first
-    stages and then miss their objectives together.
+    A request reaches its later stages hundreds of milliseconds after its
+    admission.  A gate that counts only its queue keeps admitting requests for
+    that long after its instances are saturated: these spend work on their
+    first stages and then all miss their objectives.
     """
 
     def __init__(self) -> None:
@@ -22,16 +22,16 @@
 
     def add(self, pool: str, priority: int, pieces: int) -> None:
         """
-        Announce pieces, or withdraw them.
+        Announce or withdraw pieces.
 
         Parameters
         ----------
         pool : str
-            Pool that will make them.
+            Pool that will process the pieces.
         priority : int
-            Rank of their request, 0 first.
+            Priority of their request, 0 first.
         pieces : int
-            How many; negative when they have arrived or are not needed.
+            Number of pieces; negative when they have arrived or are not needed.
         """
         counts = self._counts.setdefault(
             pool,
@@ -40,7 +40,7 @@
         counts[min(priority, len(counts) - 1)] += pieces
 
     def get_counts(self) -> dict[str, list[int]]:
-        """Return the pieces by pool and priority, of pools with any."""
+        """Return the pieces by pool and priority, omitting pools with none."""
         return {
             pool: list(counts)
             for pool, counts in self._counts.items()
@@ -49,14 +49,14 @@
 
 
 class PeerAnnouncements:
-    """Hold what other gateways announced, as long as it is fresh."""
+    """Hold the recent announcements of other gateways."""
 
     def __init__(self) -> None:
         self._counts: dict[str, CountsByPool] = {}
         self._noted_ms: dict[str, float] = {}
 
     def note(self, source: str, counts: CountsByPool, now_ms: float) -> None:
-        """Take all that one gateway announces; what it said is forgotten."""
+        """Replace the announcements of one gateway."""
         self._counts[source] = counts
         self._noted_ms[source] = now_ms
 
--- a/packages/ragworthollow/src/ragworthollow/pieces/call.py
+++ b/packages/ragworthollow/src/ragworthollow/pieces/call.py
@@ -1,4 +1,4 @@
-"""Define a call for pieces."""
+"""Define the calls that carry pieces to instances."""
 
 from dataclasses import dataclass, field
 
@@ -10,26 +10,27 @@
 @dataclass(frozen=True, kw_only=True, slots=True, eq=False)
 class PieceCall:
     """
-    Hold one call to one instance.
+    Describe one call to one instance, with a batch of pieces.
 
     Attributes
     ----------
     instance : UpstreamInstance
-        Who works on it.
+        Instance that processes the call.
     waiting : tuple of WaitingPiece
-        Its pieces, in order.
+        Pieces of the call, in order.
     started_ms : float
-        When it was sent.
+        Time at which the call was sent, on the monotonic clock.
     expected_ms : float
-        How long it should take.
+        Expected duration of the call.
     limit : CallLimit
-        Why it carries no more pieces.
+        Reason why the call carries no more pieces.
     left : int
-        Pieces that stayed in the queue.
+        Number of pieces that remained in the queue.
     free_bytes : float
-        Space for results that its instance should have had.
+        Free space for results at the instance, as accounted for here.
     passed_on : set of WaitingPiece
-        Pieces that were given to another call as well, since this is slow.
+        Pieces that were queued again for another call because this one is
+        slow.
     """
 
     instance: UpstreamInstance
@@ -45,17 +46,17 @@
 @dataclass(frozen=True, kw_only=True, slots=True)
 class ForeignCall:
     """
-    Describe a call that another gate of the pool has sent.
+    Describe a call sent by another gate of the pool.
 
     Attributes
     ----------
     instance : str
-        Who works on it.
+        Instance that processes the call.
     result_bytes : int
-        Space that its results will take.
+        Space that the results of the call will take.
     until_ms : float
-        Until when it counts unless that gate tells of it again, on the
-        monotonic clock.
+        Time until which the call counts unless that gate reports it again,
+        on the monotonic clock.
     """
 
     instance: str
--- a/packages/ragworthollow/src/ragworthollow/pieces/call_limit.py
+++ b/packages/ragworthollow/src/ragworthollow/pieces/call_limit.py
@@ -1,4 +1,4 @@
-"""Say why a call carries no more pieces."""
+"""Determine why a call carries no more pieces."""
 
 import enum
 from collections.abc import Sequence
@@ -10,20 +10,21 @@
 
 class CallLimit(enum.StrEnum):
     """
-    Name what kept a call from carrying more.
+    Reason why a call carries no more pieces.
 
     Attributes
     ----------
     full
-        It carries as many pieces as a call may.
+        The call carries the maximum number of pieces.
     space
-        Others waited whose results, or the rest of whose stage, did not fit.
+        Other pieces waited whose results, or the rest of whose stage, did not
+        fit into the space.
     held
-        Others waited for an instance in another failure domain.
+        Other pieces waited for an instance in another failure domain.
     avoided
-        Others waited that this instance has failed.
+        Other pieces waited that have already failed at this instance.
     queue
-        Nothing else waited.
+        No other pieces waited.
     """
 
     full = 'full'
@@ -41,22 +42,22 @@
     queue: Sequence[WaitingPiece],
 ) -> CallLimit:
     """
-    Tell why a call carries no more than what it takes.
+    Return the reason why a call carries no more than the taken pieces.
 
     Parameters
     ----------
     profile : PieceProfile
-        Of the pool.
+        Profile of the pool.
     instance : UpstreamInstance
-        Who makes the call's pieces.
+        Instance that the call goes to.
     taken : sequence of WaitingPiece
         Pieces of the call.
     wanted : sequence of WaitingPiece
-        Pieces that the instance may make.
+        Pieces that the instance may process.
     queue : sequence of WaitingPiece
-        All pieces that wait.
+        All queued pieces.
     """
-    avoiding = sum(instance.instance in one.avoid for one in wanted)
+    avoiding = sum(instance.instance in waiting.avoid for waiting in wanted)
     if len(taken) == profile.batch_limit:
         return CallLimit.full
     if len(wanted) - avoiding > len(taken):
--- a/packages/ragworthollow/src/ragworthollow/pieces/drain_rate.py
+++ b/packages/ragworthollow/src/ragworthollow/pieces/drain_rate.py
@@ -1,4 +1,4 @@
-"""Measure how fast a gate's queue is worked off."""
+"""Measure the rate at which a gate's queue drains."""
 
 import math
 
@@ -7,13 +7,13 @@
 
 class DrainRate:
     """
-    Know the rate at which pieces leave a queue that is never empty.
+    Measure the rate at which pieces leave a backlogged queue.
 
-    What instances could do by their call times is more than what they do
-    where space for results, suspect instances or pieces that wait for a near
-    one hold calls back.  An estimate by call times lets requests in that are
-    given up hundreds of milliseconds later, when their caller has less time
-    left to come back.
+    The rate that call times suggest is higher than the actual one when calls
+    are delayed by a lack of space for results, by suspect instances or by
+    pieces that wait for an instance in a preferred failure domain.  An
+    estimate from call times alone admits requests that are given up hundreds
+    of milliseconds later, when their callers have less time left to retry.
     """
 
     def __init__(self) -> None:
@@ -24,29 +24,29 @@
 
     def note(self, *, started: int, is_backlogged: bool, now_ms: float) -> None:
         """
-        Take one turn of the gate.
+        Record one scheduling cycle of the gate.
 
         Parameters
         ----------
         started : int
-            Pieces that it gave to instances.
+            Number of pieces that were sent to instances.
         is_backlogged : bool
-            Whether pieces stayed behind.
+            Whether pieces remained in the queue.
         now_ms : float
-            Time on the monotonic clock.
+            Current time on the monotonic clock.
         """
-        passed_ms = 0 if self._noted_ms is None else now_ms - self._noted_ms
-        kept = math.exp(-passed_ms / global_settings.DRAIN_RATE_MEMORY_MS)
+        elapsed_ms = 0 if self._noted_ms is None else now_ms - self._noted_ms
+        decay = math.exp(-elapsed_ms / global_settings.DRAIN_RATE_MEMORY_MS)
         self._noted_ms = now_ms
-        self._pieces *= kept
-        self._backlog_ms *= kept
+        self._pieces *= decay
+        self._backlog_ms *= decay
         if self._was_backlogged:
             self._pieces += started
-            self._backlog_ms += passed_ms
+            self._backlog_ms += elapsed_ms
         self._was_backlogged = is_backlogged
 
     def estimate_ms(self, ahead: int) -> float:
-        """Return how long so many pieces take; 0 while that is not known."""
+        """Return the time for a number of pieces; 0 while it is unknown."""
         if self._backlog_ms < global_settings.DRAIN_RATE_LEAST_MS:
             return 0
         return ahead * self._backlog_ms / max(1, self._pieces)
--- a/packages/ragworthollow/src/ragworthollow/pieces/gate.py
+++ b/packages/ragworthollow/src/ragworthollow/pieces/gate.py
@@ -1,4 +1,4 @@
-"""Decide which pieces go to which instance, and when."""
+"""Schedule the queued pieces of a pool on its instances."""
 
 import itertools
 from collections.abc import Sequence
@@ -29,12 +29,12 @@
 
 class PieceGate:
     """
-    Queue the pieces of one pool and fill calls with them.
+    Queue the pieces of one pool and batch them into calls.
 
-    A call costs the same fixed time for one piece as for a full batch, so
-    pieces of different requests share calls.  Pieces are taken by the latest
-    start that still meets their objective; those that have missed it come
-    after all others, since an answer in time is worth several late ones.
+    Every call has a fixed cost, whether it carries one piece or a full batch,
+    so pieces of different requests share calls.  Pieces are ordered by the
+    latest start that still meets their objective.  Those that have missed it
+    come last, since one answer in time is worth several late ones.
     """
 
     def __init__(self) -> None:
@@ -54,62 +54,66 @@
         instances: Sequence[UpstreamInstance],
     ) -> None:
         """
-        Queue a piece again, for another instance if there is one.
+        Queue a piece again, for another instance if possible.
 
         Parameters
         ----------
         waiting : WaitingPiece
-            The piece.
+            Piece to queue.
         failed : str
-            Instance that did not make it.
+            Instance that did not return its result.
         instances : sequence of UpstreamInstance
-            Instances that may get work.
+            Instances that may receive work.
         """
         waiting.attempts += 1
         waiting.avoid.add(failed)
         homes = waiting.piece.homes
-        allowed = [one for one in instances if may_run_in(one.region, homes)]
-        if waiting.avoid.issuperset(one.instance for one in allowed):
+        allowed = [
+            instance
+            for instance in instances
+            if may_run_in(instance.region, homes)
+        ]
+        if waiting.avoid.issuperset(instance.instance for instance in allowed):
             waiting.avoid.clear()
         self._queue.append(waiting)
 
     def get_depth(self) -> int:
-        """Return the number of pieces that wait."""
+        """Return the number of queued pieces."""
         return len(self._queue)
 
     def finish(self, call: PieceCall) -> None:
-        """Note that a call has ended."""
+        """Record that a call has ended."""
         self.running.own.remove(call)
 
     def drop_asker(self, asker: str) -> None:
-        """Want no piece any more that a gateway which is gone has asked for."""
+        """Mark the queued pieces of a gateway that is gone as unwanted."""
         for waiting in self._queue:
             if waiting.piece.asker == asker:
                 waiting.is_wanted = False
 
     def release_queue(self) -> None:
-        """Send the pieces that wait back to their askers, for another gate."""
+        """Return queued pieces to the requesting gateways, for another gate."""
         for waiting in self._queue:
             waiting.settle(PieceResult(outcome=PieceOutcome.moved))
         self._queue = []
 
     def refuse_queue(self) -> None:
-        """Give the pieces that wait up: no instance may make them."""
+        """Refuse all queued pieces because no instance may process them."""
         for waiting in self._queue:
             waiting.settle(PieceResult(outcome=PieceOutcome.drained))
         self._queue = []
 
     def drop_unwanted(self, now_ms: float) -> None:
-        """Take out pieces that nobody waits for any more."""
-        staying = []
+        """Remove pieces that are unwanted or given up."""
+        remaining = []
         for waiting in self._queue:
             if not waiting.is_wanted:
                 continue
             if is_hopeless(waiting, now_ms):
                 waiting.settle(PieceResult(outcome=PieceOutcome.not_run))
                 continue
-            staying.append(waiting)
-        self._queue = staying
+            remaining.append(waiting)
+        self._queue = remaining
 
     def estimate_wait_ms(
         self,
@@ -119,21 +123,24 @@
         now_ms: float,
     ) -> float:
         """
-        Estimate how long a piece that comes now waits for its call.
+        Estimate how long a piece that arrives now waits for its call.
 
         Parameters
         ----------
         profile : PieceProfile
-            Of the pool.
+            Profile of the pool.
         instances : int
-            Instances that may get work.
+            Number of instances that may receive work.
         piece : Piece
-            Only pieces that go before it count.
+            Arriving piece; only queued pieces ahead of it count.
         now_ms : float
-            Time on the monotonic clock.
+            Current time on the monotonic clock.
         """
-        own = rank_piece(piece, now_ms)
-        ahead = sum(rank_piece(one.piece, now_ms) <= own for one in self._queue)
+        own_rank = rank_piece(piece, now_ms)
+        ahead = sum(
+            rank_piece(waiting.piece, now_ms) <= own_rank
+            for waiting in self._queue
+        )
         return self._estimate_ms(profile, instances, ahead, now_ms)
 
     def estimate_waits_ms(
@@ -144,29 +151,30 @@
         now_ms: float,
     ) -> list[float]:
         """
-        Estimate the waits of requests that are due later than all queued.
+        Estimate the waits of requests due later than all queued ones.
 
         Parameters
         ----------
         profile : PieceProfile
-            Of the pool.
+            Profile of the pool.
         instances : int
-            Instances that may get work.
+            Number of instances that may receive work.
         announced : sequence of int
-            Pieces that are on their way here, by priority.
+            Number of announced pieces by priority.
         now_ms : float
-            Time on the monotonic clock.
+            Current time on the monotonic clock.
 
         Returns
         -------
         list of float
-            By priority, 0 first; only pieces that are at least as urgent
-            count, so that the less urgent are refused first.
+            Waits in milliseconds by priority, 0 first.  Each counts only
+            pieces that are at least as urgent, so that less urgent requests
+            are refused first.
         """
         counts = list(announced)
-        for one in self._queue:
-            if not is_late(one.piece, now_ms):
-                counts[min(one.piece.priority, len(counts) - 1)] += 1
+        for waiting in self._queue:
+            if not is_late(waiting.piece, now_ms):
+                counts[min(waiting.piece.priority, len(counts) - 1)] += 1
         return [
             self._estimate_ms(profile, instances, ahead, now_ms)
             for ahead in itertools.accumulate(counts)
@@ -192,23 +200,23 @@
         now_ms: float,
     ) -> list[PieceCall]:
         """
-        Make the calls that are to be sent now.
+        Create the calls that are to be sent now.
 
         Parameters
         ----------
         profile : PieceProfile
-            Of the pool.
+            Profile of the pool.
         instances : sequence of UpstreamInstance
-            Instances that may get work.
+            Instances that may receive work.
         book : LoadBook
-            Which of them are suspect.
+            Load and health of the instances.
         now_ms : float
-            Time on the monotonic clock.
+            Current time on the monotonic clock.
 
         Returns
         -------
         list of PieceCall
-            Each noted as running until `finish`.
+            New calls; each counts as running until it is passed to `finish`.
         """
         self.drop_unwanted(now_ms)
         if not self._queue:
@@ -222,7 +230,7 @@
         waits_ms = estimate_domain_waits(
             profile, instances, self.running.own, self._queue, now_ms
         )
-        self._queue.sort(key=lambda one: rank(one, now_ms))
+        self._queue.sort(key=lambda waiting: rank(waiting, now_ms))
         calls = []
         while idle and self._queue:
             instance = prefer_domain(idle, self._queue[0])
@@ -245,26 +253,28 @@
         now_ms: float,
     ) -> list[WaitingPiece]:
         """
-        Return what an instance may make, in the order of its taking.
+        Return the pieces that an instance may take, in order of preference.
 
-        Among stages that have not begun those near their reader go before
-        those that can still be in time near theirs.  In a long queue each
-        instance then finds full calls of near pieces, which moves a tenth
-        fewer bytes between domains.
+        Pieces of unstarted stages that can still be in time in a different,
+        preferred failure domain come last.  With a long queue, each instance
+        then fills its calls with pieces that prefer its own domain, which
+        moves a tenth fewer bytes between domains.
         """
         wanted = [
-            one
-            for one in self._queue
-            if not is_held(one, instance, waits_ms, now_ms)
+            waiting
+            for waiting in self._queue
+            if not is_held(waiting, instance, waits_ms, now_ms)
         ]
-        later = [
-            one
-            for one in wanted
-            if not one.stage_run.is_begun
-            and is_patient(one, instance, waits_ms, now_ms)
+        deferred = [
+            waiting
+            for waiting in wanted
+            if not waiting.stage_run.is_begun
+            and is_patient(waiting, instance, waits_ms, now_ms)
         ]
-        last = {id(one) for one in later}
-        return [one for one in wanted if id(one) not in last] + later
+        deferred_ids = {id(waiting) for waiting in deferred}
+        return [
+            waiting for waiting in wanted if id(waiting) not in deferred_ids
+        ] + deferred
 
     def _find_idle(
         self,
@@ -275,19 +285,20 @@
     ) -> list[UpstreamInstance]:
         busy = self.running.get_occupied(now_ms)
         idle = [
-            one
-            for one in instances
-            if busy.count(one.instance) < profile.concurrency
+            instance
+            for instance in instances
+            if busy.count(instance.instance) < profile.concurrency
         ]
         trusted = [
-            one
-            for one in idle
-            if book.get(one.instance).suspect_until_ms <= now_ms
+            instance
+            for instance in idle
+            if book.get(instance.instance).suspect_until_ms <= now_ms
         ]
-        # With every instance suspect, a doubtful call beats none.
+        # If every instance is suspect, a call that may fail is better than
+        # none.
         all_suspect = all(
-            book.get(one.instance).suspect_until_ms > now_ms
-            for one in instances
+            book.get(instance.instance).suspect_until_ms > now_ms
+            for instance in instances
         )
         return idle if all_suspect else trusted
 
@@ -302,17 +313,19 @@
         room_bytes = profile.room_bytes / global_settings.ROOM_MARGIN
         free_bytes = room_bytes - used.get(instance.instance, 0)
         taken = select_pieces(
-            [one for one in wanted if _may_make(instance, one)],
+            [waiting for waiting in wanted if _may_make(instance, waiting)],
             profile,
             free_bytes,
         )
         if not taken:
             return None
-        for begun in taken:
-            begun.stage_run.is_begun = True
+        for selected in taken:
+            selected.stage_run.is_begun = True
         limit = find_limit(profile, instance, taken, wanted, self._queue)
-        chosen = {id(one) for one in taken}
-        self._queue = [one for one in self._queue if id(one) not in chosen]
+        taken_ids = {id(waiting) for waiting in taken}
+        self._queue = [
+            waiting for waiting in self._queue if id(waiting) not in taken_ids
+        ]
         call = PieceCall(
             instance=instance,
             waiting=tuple(taken),
@@ -327,7 +340,7 @@
 
 
 def _may_make(instance: UpstreamInstance, waiting: WaitingPiece) -> bool:
-    """Tell whether an instance may make a piece, and has not failed to."""
+    """Return whether an instance may process a piece and has not failed it."""
     if not may_run_in(instance.region, waiting.piece.homes):
         return False
     return instance.instance not in waiting.avoid
--- a/packages/ragworthollow/src/ragworthollow/pieces/nearness.py
+++ b/packages/ragworthollow/src/ragworthollow/pieces/nearness.py
@@ -1,4 +1,4 @@
-"""Choose where the pieces of a stage are best made."""
+"""Choose the preferred failure domain for the pieces of a stage."""
 
 from collections.abc import Mapping
 
@@ -7,23 +7,24 @@
 
 def choose_domain(bytes_by_domain: Mapping[str, float]) -> str:
     """
-    Choose the failure domain in which a stage moves the fewest bytes.
+    Choose the failure domain that minimises traffic between domains.
 
-    Every piece of a stage reads all results of the stages before it, so a
-    stage of ten pieces behind six results of 60 kB moves 3.6 MB, ten times
-    what its request's own reader would.  Made where most of them lie, these
-    stay inside one domain.
+    Every piece of a stage reads all results of the preceding stages.  A stage
+    of ten pieces that reads six results of 60 kB moves 3.6 MB, ten times what
+    the final consumer of these results would read.  Running the stage where
+    most of its inputs are stored keeps this traffic inside one domain.
 
     Parameters
     ----------
     bytes_by_domain : mapping of str to float
-        Bytes that the pieces read or their results are read, by the domain
-        at the other end.
+        Bytes that the pieces read, and bytes of their results that are read,
+        by the domain at the other end.
 
     Returns
     -------
     str
-        Empty where the bytes are not worth waiting for a near instance.
+        Empty if the traffic is too small to wait for an instance in a
+        particular domain.
     """
     if not bytes_by_domain:
         return ''
--- a/packages/ragworthollow/src/ragworthollow/pieces/order.py
+++ b/packages/ragworthollow/src/ragworthollow/pieces/order.py
@@ -1,4 +1,4 @@
-"""Order pieces, and tell which may wait or are given up."""
+"""Order queued pieces and decide which of them wait or are given up."""
 
 from collections.abc import Sequence
 
@@ -10,12 +10,12 @@
 
 def is_hopeless(waiting: WaitingPiece, now_ms: float) -> bool:
     """
-    Tell whether a queued piece is given up.
+    Return whether a queued piece is given up.
 
-    A request on which nothing was spent is given up soon after its objective
-    is out of reach: it would take time from requests that can still meet
-    theirs, and its caller can come back.  One on which work was spent stays
-    until nobody waits for it.
+    A request on which no work was spent is given up soon after it can no
+    longer meet its objective: it would take capacity from requests that still
+    can, and its caller can retry.  A request on which work was spent stays
+    queued until its caller no longer waits for it.
     """
     piece = waiting.piece
     if piece.expires_ms <= now_ms:
@@ -27,11 +27,11 @@
 
 def rank(waiting: WaitingPiece, now_ms: float) -> tuple[bool, bool, float]:
     """
-    Return the order in which a piece is taken, smallest first.
+    Return the sort key of a queued piece; the smallest is taken first.
 
-    The rest of a stage that has begun comes first: its finished pieces take
-    space at their makers until the last one is done, and space that is held
-    by halves of stages stops the pool while its instances are idle.
+    The remaining pieces of a started stage come first: the results of its
+    finished pieces occupy space until the last piece is done, and space that
+    is held by incomplete stages stalls the pool while its instances are idle.
     """
     return (
         not waiting.stage_run.is_begun,
@@ -40,17 +40,17 @@
 
 
 def rank_piece(piece: Piece, now_ms: float) -> tuple[bool, float]:
-    """Return the order of pieces whose stages have not begun."""
+    """Return the sort key of a piece whose stage has not started."""
     return (is_late(piece, now_ms), get_rank_ms(piece))
 
 
 def get_rank_ms(piece: Piece) -> float:
-    """Return the latest start, later for what is less urgent."""
+    """Return the latest start, shifted later for less urgent pieces."""
     return piece.due_ms + piece.priority * global_settings.PRIORITY_STEP_MS
 
 
 def is_late(piece: Piece, now_ms: float) -> bool:
-    """Tell whether a piece can no longer meet its objective."""
+    """Return whether a piece can no longer meet its objective."""
     return piece.due_ms + global_settings.PIECE_LATE_GRACE_MS < now_ms
 
 
@@ -61,11 +61,11 @@
     now_ms: float,
 ) -> bool:
     """
-    Tell whether a piece rather waits for an instance near its reader.
+    Return whether a piece waits for an instance in its preferred domain.
 
-    A result that is read in another failure domain costs traffic between
-    them.  A piece waits for a near instance that is expected soon, measured
-    by its own slack.
+    Reading a result in another failure domain costs traffic between domains.
+    A piece waits for an instance in its preferred domain if one is expected
+    to be free within a share of the piece's slack.
     """
     domain = waiting.piece.failure_domain
     wait_ms = waits_ms.get(domain)
@@ -82,10 +82,10 @@
     now_ms: float,
 ) -> bool:
     """
-    Tell whether a piece can be in time at an instance near its reader.
+    Return whether a piece can be in time in its preferred domain.
 
-    The least wait of that domain is meant; one that misses it goes by its
-    due time like any other.
+    This uses the shortest wait in that domain.  A piece that would be late is
+    ordered by its latest start like any other.
     """
     domain = waiting.piece.failure_domain
     wait_ms = waits_ms.get(domain)
@@ -98,12 +98,12 @@
     idle: Sequence[UpstreamInstance],
     first: WaitingPiece,
 ) -> UpstreamInstance:
-    """Return an idle instance, near the reader of the result if possible."""
-    for one in idle:
-        is_near = one.failure_domain == first.piece.failure_domain
-        if is_near and one.instance not in first.avoid:
-            return one
-    for one in idle:
-        if one.instance not in first.avoid:
-            return one
+    """Return an idle instance, in the preferred domain if possible."""
+    for candidate in idle:
+        is_near = candidate.failure_domain == first.piece.failure_domain
+        if is_near and candidate.instance not in first.avoid:
+            return candidate
+    for candidate in idle:
+        if candidate.instance not in first.avoid:
+            return candidate
     return idle[0]
--- a/packages/ragworthollow/src/ragworthollow/pieces/piece.py
+++ b/packages/ragworthollow/src/ragworthollow/pieces/piece.py
@@ -1,4 +1,4 @@
-"""Define a piece of a stage and what became of it."""
+"""Define a piece of a stage and its result."""
 
 import enum
 from dataclasses import dataclass
@@ -14,35 +14,36 @@
     Attributes
     ----------
     request_id : str
-        Request that needs it.
+        Request that needs the piece.
     position : int
         Position of the stage in its route.
     number : int
         Number of the piece in its stage, from 0.
     key : str
-        What a stage without inputs reads.
+        Key of the data that a stage without inputs reads.
     inputs : tuple of str
-        Handles of all results that the stage needs.
+        Handles of all results that the stage reads.
     due_ms : float
-        Latest start, on the monotonic clock, with which the request still
-        meets its objective.
+        Latest start, on the monotonic clock, that still meets the objective
+        of the request.
     give_up_ms : float
-        Time after which the piece is given up if nothing was spent on its
+        Time after which the piece is given up if no work was spent on its
         request yet.
     expires_ms : float
-        Time after which nobody waits for the result any more.
+        Time after which the result is no longer needed.
     result_bytes : int
         Approximate size of the result.
     failure_domain : str
-        Where the result will be read; empty when that is not known.
+        Preferred failure domain, which minimises traffic; empty for none.
     priority : int
-        Rank of the request, 0 first.
+        Priority of the request, 0 first.
     asker : str
-        Incarnation of the gateway that has the request.
+        Incarnation of the gateway that handles the request.
     fingerprint : str
-        The same for each try of the same work; empty when that is not known.
+        Hash that is the same for each attempt at the same work; empty if
+        unknown.
     homes : frozenset of str or None
-        Regions in which it may be made; None for any.
+        Regions in which the piece may be processed; None for any.
     """
 
     request_id: str
@@ -62,7 +63,7 @@
 
 
 class PieceOutcome(enum.StrEnum):
-    """Say what became of a piece."""
+    """Describe how the processing of a piece ended."""
 
     done = 'done'
     late = 'late'
@@ -78,16 +79,16 @@
 @dataclass(frozen=True, kw_only=True, slots=True)
 class PieceResult:
     """
-    Hold a result, or why there is none.
+    Hold the result of a piece, or the reason why there is none.
 
     Attributes
     ----------
     outcome : PieceOutcome
-        What became of the piece.
+        Outcome of the piece.
     handle : str
-        Names the result towards upstreams; empty when there is none.
+        Handle by which upstreams know the result; empty if there is none.
     wait_ms : float
-        How long a refused piece would have waited.
+        Expected wait of a refused piece.
     """
 
     outcome: PieceOutcome
--- a/packages/ragworthollow/src/ragworthollow/pieces/result_room.py
+++ b/packages/ragworthollow/src/ragworthollow/pieces/result_room.py
@@ -1,4 +1,4 @@
-"""Account for the space that results take at their makers."""
+"""Account for the space that results occupy at instances."""
 
 from dataclasses import dataclass, field
 
@@ -8,20 +8,20 @@
 @dataclass(frozen=True, kw_only=True, slots=True)
 class KeptResult:
     """
-    Name a result that takes space.
+    Describe a result that occupies space at an instance.
 
     Attributes
     ----------
     handle : str
-        Its name towards upstreams.
+        Handle by which upstreams know the result.
     instance : str
-        Its maker.
+        Instance that produced and stores the result.
     result_bytes : int
         Approximate size.
     until_ms : float
-        When its maker drops it by itself, on the monotonic clock.
+        Time at which the instance drops the result, on the monotonic clock.
     asker : str
-        Incarnation of the gateway whose request holds it.
+        Incarnation of the gateway whose request holds the result.
     """
 
     handle: str
@@ -34,10 +34,10 @@
 @dataclass(kw_only=True, slots=True)
 class ResultRoom:
     """
-    Know how much space the results of one pool take at each instance.
+    Track the space that the results of one pool occupy at each instance.
 
-    An instance refuses pieces for which it has no space after the call's
-    other pieces were worked on, so a gate that overfills it loses work.
+    An instance without enough space refuses pieces only after it has
+    processed the rest of the call, so a gate that overfills it loses work.
     """
 
     _kept_by_handle: dict[str, KeptResult] = field(default_factory=dict)
@@ -51,10 +51,10 @@
         until_ms: float,
     ) -> None:
         """
-        Note that results of which nobody knows take space at an instance.
+        Record space at an instance that is occupied by unknown results.
 
-        They were asked for by a gateway that is gone; the instance drops
-        them after a while.  What is left of its space is used meanwhile.
+        They were requested by a gateway that is gone, and the instance drops
+        them after a while.  Its remaining space is used in the meantime.
         """
         self._unknown_by_instance[instance] = KeptResult(
             handle='',
@@ -65,27 +65,27 @@
 
     def keep(self, kept: KeptResult) -> None:
         """
-        Note a result that takes space until it is freed or expires.
+        Record a result that occupies space until it is freed or expires.
 
-        One that was freed before its maker's gate told of it is not noted:
-        it would take space in the account for seconds that is free.
+        A result that was freed before the gate of its call reported it is
+        ignored: otherwise free space would count as occupied for seconds.
         """
         if self._freed_until_ms.pop(kept.handle, None) is None:
             self._kept_by_handle[kept.handle] = kept
 
     def free(self, handle: str, now_ms: float) -> str:
-        """Forget a result; return its maker, empty for an unknown one."""
+        """Remove a result; return its instance, empty if it is unknown."""
         kept = self._kept_by_handle.pop(handle, None)
         if kept is not None:
             return kept.instance
-        for old, until_ms in tuple(self._freed_until_ms.items()):
+        for freed, until_ms in tuple(self._freed_until_ms.items()):
             if until_ms <= now_ms:
-                self._freed_until_ms.pop(old)
+                self._freed_until_ms.pop(freed)
         self._freed_until_ms[handle] = now_ms + global_settings.FREED_MEMORY_MS
         return ''
 
     def find_handles(self, asker: str) -> tuple[str, ...]:
-        """Return the results that the requests of one gateway hold."""
+        """Return the handles of the results held for one gateway's requests."""
         return tuple(
             kept.handle
             for kept in self._kept_by_handle.values()
@@ -93,20 +93,20 @@
         )
 
     def forget_instance(self, instance: str) -> None:
-        """Forget all results of an instance that holds none any more."""
+        """Remove all results of an instance that no longer stores any."""
         self._unknown_by_instance.pop(instance, None)
         for handle, kept in tuple(self._kept_by_handle.items()):
             if kept.instance == instance:
                 self._kept_by_handle.pop(handle)
 
     def take_all(self) -> tuple[KeptResult, ...]:
-        """Give the whole account away, to another gate of the pool."""
-        everything = tuple(self._kept_by_handle.values())
+        """Remove and return all results, for another gate of the pool."""
+        results = tuple(self._kept_by_handle.values())
         self._kept_by_handle.clear()
-        return everything
+        return results
 
     def get_used(self, now_ms: float) -> dict[str, int]:
-        """Return the bytes in use by instance, and drop expired results."""
+        """Remove expired results; return the bytes in use by instance."""
         used: dict[str, int] = {}
         for handle, kept in tuple(self._kept_by_handle.items()):
             if kept.until_ms <= now_ms:
--- a/packages/ragworthollow/src/ragworthollow/pieces/running_calls.py
+++ b/packages/ragworthollow/src/ragworthollow/pieces/running_calls.py
@@ -1,4 +1,4 @@
-"""Know which instances work on calls."""
+"""Track which instances are processing calls."""
 
 from collections.abc import Sequence
 from dataclasses import dataclass, field
@@ -11,13 +11,13 @@
     """
     Hold the calls of a pool that are in progress.
 
-    While the host of a gate changes, the calls of the gate before run on at
-    their instances; this one hears of them.
+    When a gate moves to another host, the calls of the previous gate keep
+    running at their instances, and their host reports them to the new gate.
 
     Attributes
     ----------
     own : list of PieceCall
-        Calls that were sent from here.
+        Calls that were sent by this gate.
     """
 
     own: list[PieceCall] = field(default_factory=list)
@@ -25,19 +25,19 @@
 
     def learn(self, source: str, calls: Sequence[ForeignCall]) -> None:
         """
-        Take the calls that another gate of the pool has running now.
+        Replace the calls that another gate of the pool has in progress.
 
         Parameters
         ----------
         source : str
-            Who hosts that gate; what it told before is forgotten.
+            Host of that gate; its previous report is discarded.
         calls : sequence of ForeignCall
-            All of them.
+            All calls of that gate that are in progress.
         """
         self._foreign[source] = tuple(calls)
 
     def get_foreign(self, now_ms: float) -> list[ForeignCall]:
-        """Return the calls of other gates that still count."""
+        """Return the calls of other gates that have not expired."""
         return [
             call
             for calls in self._foreign.values()
@@ -46,6 +46,6 @@
         ]
 
     def get_occupied(self, now_ms: float) -> list[str]:
-        """Return the instance of each call in progress, whoever sent it."""
+        """Return the instance of each call in progress at any gate."""
         own = [call.instance.instance for call in self.own]
-        return own + [one.instance for one in self.get_foreign(now_ms)]
+        return own + [call.instance for call in self.get_foreign(now_ms)]
--- a/packages/ragworthollow/src/ragworthollow/pieces/selection.py
+++ b/packages/ragworthollow/src/ragworthollow/pieces/selection.py
@@ -13,21 +13,22 @@
     free_bytes: float,
 ) -> list[WaitingPiece]:
     """
-    Fill a call without more results than there is space for.
+    Select pieces for a call whose results fit into the available space.
 
-    A stage whose results are large against the space is not begun by halves:
-    its finished pieces would take space that others could work in, for as
-    long as the rest waits for another call.  The most urgent one is begun all
-    the same: small ones would overtake it for ever.
+    A stage whose results are large compared to the space is not started
+    partially: the results of its finished pieces would occupy space that
+    other stages could use, for as long as the rest waits for another call.
+    The most urgent stage is started anyway, since smaller stages would
+    otherwise overtake it indefinitely.
 
     Parameters
     ----------
     wanted : sequence of WaitingPiece
-        In the order in which they are to be taken.
+        Candidate pieces, in order of preference.
     profile : PieceProfile
-        Of the pool.
+        Profile of the pool.
     free_bytes : float
-        Space for results at the instance.
+        Available space for results at the instance.
 
     Returns
     -------
@@ -42,12 +43,12 @@
         if taken and is_split and _must_stay_whole(group, profile):
             continue
         taken += fitting
-        free_bytes -= sum(one.piece.result_bytes for one in fitting)
+        free_bytes -= sum(waiting.piece.result_bytes for waiting in fitting)
     return taken
 
 
 def _group(wanted: Iterable[WaitingPiece]) -> list[list[WaitingPiece]]:
-    """Bring the pieces of each stage together, where its first one stands."""
+    """Group pieces by stage, in the order of each stage's first piece."""
     groups: dict[int, list[WaitingPiece]] = {}
     for waiting in wanted:
         groups.setdefault(id(waiting.stage_run), []).append(waiting)
--- a/packages/ragworthollow/src/ragworthollow/pieces/stage_run.py
+++ b/packages/ragworthollow/src/ragworthollow/pieces/stage_run.py
@@ -1,4 +1,4 @@
-"""Track the pieces of one stage of one request at a gate."""
+"""Define the state of one stage of one request at a gate."""
 
 from dataclasses import dataclass
 
@@ -6,12 +6,12 @@
 @dataclass(kw_only=True, slots=True)
 class StageRun:
     """
-    Hold what the pieces of one stage share.
+    Hold the state that the pieces of one stage share.
 
     Attributes
     ----------
     is_begun : bool
-        Whether any piece has been given to an instance.
+        Whether any piece has been sent to an instance.
     """
 
     is_begun: bool = False
--- a/packages/ragworthollow/src/ragworthollow/pieces/waiting_piece.py
+++ b/packages/ragworthollow/src/ragworthollow/pieces/waiting_piece.py
@@ -15,19 +15,19 @@
     Attributes
     ----------
     piece : Piece
-        What is to be done.
+        Work to be done.
     arrived_ms : float
-        When it came.
+        Time at which the piece arrived, on the monotonic clock.
     on_result : callable
-        Called once with the result.
+        Callback that receives the result, called once.
     attempts : int
-        Calls that it has been part of.
+        Number of earlier calls that the piece was part of.
     avoid : set of str
-        Instances that have failed it.
+        Instances at which the piece has failed.
     stage_run : StageRun
-        The stage that it belongs to.
+        State of the stage that the piece belongs to.
     is_wanted : bool
-        False when whoever asked has the result or has left.
+        False once the requesting gateway has the result or is gone.
     """
 
     piece: Piece
@@ -39,6 +39,6 @@
     is_wanted: bool = True
 
     def settle(self, piece_result: PieceResult) -> None:
-        """Hand the result over; nothing more is wanted afterwards."""
+        """Deliver the result; the piece is not wanted any more."""
         self.is_wanted = False
         self.on_result(piece_result)
--- a/packages/ragworthollow/src/ragworthollow/pieces/waits.py
+++ b/packages/ragworthollow/src/ragworthollow/pieces/waits.py
@@ -1,4 +1,4 @@
-"""Estimate how long pieces wait for their calls."""
+"""Estimate how long pieces wait in the queue."""
 
 from collections.abc import Sequence
 
@@ -16,18 +16,18 @@
     now_ms: float,
 ) -> float:
     """
-    Estimate the wait behind other pieces, by call times alone.
+    Estimate the wait behind other pieces, from call times alone.
 
     Parameters
     ----------
     profile : PieceProfile
         Of the pool.
     instances : int
-        Instances that may get work.
+        Number of instances that may receive work.
     calls : sequence of PieceCall
-        Calls that run.
+        Calls in progress.
     ahead : int
-        Pieces that go before.
+        Number of pieces that are ahead in the queue.
     now_ms : float
         Time on the monotonic clock.
     """
@@ -51,18 +51,18 @@
     now_ms: float,
 ) -> dict[str, float]:
     """
-    Estimate when each failure domain could begin with what is queued for it.
+    Estimate when each failure domain can start the pieces queued for it.
 
     Parameters
     ----------
     profile : PieceProfile
         Of the pool.
     instances : sequence of UpstreamInstance
-        Instances that may get work.
+        Instances that may receive work.
     calls : sequence of PieceCall
-        Calls that run.
+        Calls in progress.
     queue : sequence of WaitingPiece
-        Pieces that wait.
+        Queued pieces.
     now_ms : float
         Time on the monotonic clock.
     """
@@ -75,9 +75,9 @@
         domain = waiting.piece.failure_domain
         queued[domain] = queued.get(domain, 0) + 1
     free_ms: dict[str, list[float]] = {}
-    for one in instances:
-        free_ms.setdefault(one.failure_domain, []).append(
-            max(0, busy_ms.get(one.instance, 0)),
+    for instance in instances:
+        free_ms.setdefault(instance.failure_domain, []).append(
+            max(0, busy_ms.get(instance.instance, 0)),
         )
     full_ms = profile.estimate_ms(profile.batch_limit)
     return {
--- a/packages/ragworthollow/src/ragworthollow/routes/__init__.py
+++ b/packages/ragworthollow/src/ragworthollow/routes/__init__.py
@@ -1,4 +1,4 @@
-"""Decide which pool may serve a request, and for whom."""
+"""Describe routes, the pools that serve them and the owners of API keys."""
 
 from ragworthollow.routes.key_holder import KeyHolder
 from ragworthollow.routes.request_limits import RequestLimits
--- a/packages/ragworthollow/src/ragworthollow/routes/key_holder.py
+++ b/packages/ragworthollow/src/ragworthollow/routes/key_holder.py
@@ -1,4 +1,4 @@
-"""Define who holds a key."""
+"""Define the owner of an API key."""
 
 from dataclasses import dataclass
 
@@ -8,14 +8,14 @@
 @dataclass(frozen=True, kw_only=True, slots=True)
 class KeyHolder:
     """
-    Name the organisation behind a key.
+    Describe the organisation that owns an API key.
 
     Attributes
     ----------
     organisation : str
-        Name that upstreams are told.
+        Name of the organisation, as sent to upstreams.
     priority : int or None
-        Rank of its requests, 0 first; None leaves the rank to the route.
+        Priority of its requests, 0 first; None to use that of the route.
     homes : frozenset of str or None
         Regions in which its requests may run; None for any.
     """
--- a/packages/ragworthollow/src/ragworthollow/routes/request_limits.py
+++ b/packages/ragworthollow/src/ragworthollow/routes/request_limits.py
@@ -1,4 +1,4 @@
-"""Define what a caller may send and how long it may take."""
+"""Define limits on the size and timing of a caller's requests."""
 
 from dataclasses import dataclass
 
@@ -8,18 +8,18 @@
 @dataclass(frozen=True, kw_only=True, slots=True)
 class RequestLimits:
     """
-    Bound one caller.
+    Hold the limits that apply to each caller.
 
     Attributes
     ----------
     header_bytes : int
-        Longest head of a request.
+        Maximum size of the header section of a request.
     body_bytes : int
-        Longest body of a request.
+        Maximum size of the body of a request.
     header_timeout_ms : float
-        Longest time that a head may take to arrive.
+        Maximum time to receive the header section of a request.
     idle_timeout_ms : float
-        How long a connection may stay without a request.
+        How long a connection may stay idle between requests.
     """
 
     header_bytes: int = global_settings.GATEWAY_HEADER_BYTES
--- a/packages/ragworthollow/src/ragworthollow/routes/route.py
+++ b/packages/ragworthollow/src/ragworthollow/routes/route.py
@@ -1,4 +1,4 @@
-"""Define a route: which requests go to which pools, and on what terms."""
+"""Define routes, which map requests to pools and set their parameters."""
 
 import enum
 from dataclasses import dataclass
@@ -7,7 +7,7 @@
 
 
 class RouteKind(enum.StrEnum):
-    """Say what a request may suffer and what its answer is."""
+    """Classify requests by whether they may be repeated or are streamed."""
 
     safe = 'safe'
     unsafe = 'unsafe'
@@ -17,14 +17,14 @@
 @dataclass(frozen=True, kw_only=True, slots=True)
 class PoolShare:
     """
-    Give a pool a part of a route's requests.
+    Assign a weighted share of a route's requests to a pool.
 
     Attributes
     ----------
     pool : str
         Name of the pool.
     weight : float
-        Relative part; 0 sends it nothing.
+        Relative weight; 0 sends the pool no requests.
     """
 
     pool: str
@@ -34,14 +34,14 @@
 @dataclass(frozen=True, kw_only=True, slots=True)
 class StageStep:
     """
-    Describe work that is done before the request itself can run.
+    Describe one stage of work that precedes the request itself.
 
     Attributes
     ----------
     pool : str
-        Pool that does it.
+        Pool that runs the stage.
     after : tuple of int
-        Positions of the steps whose results it needs.
+        Positions of the stages whose results it needs.
     result_bytes : int
         Approximate size of the result of one piece.
     """
@@ -61,27 +61,27 @@
     name : str
         Name, for logs.
     host : str
-        Host that callers name, in lower case.
+        Host name that callers send, in lower case.
     path_prefix : str
-        Start of the path, with a slash at both ends.
+        Prefix of the path, with a slash at both ends.
     kind : RouteKind
-        What may be repeated, and whether the answer is a stream.
+        Whether requests may be repeated, and whether answers are streams.
     shares : tuple of PoolShare
-        Pools that serve it.
+        Pools that serve the route, with their weights.
     stages : tuple of StageStep
-        Work before it, by position.
+        Stages that run before the request itself, by position.
     timeout_ms : float
-        Longest time that a caller is kept waiting.
+        Maximum time that a caller is kept waiting.
     objective_ms : float
-        Latency objective; for a stream, of its first event.
+        Latency objective; for a stream, the objective for its first event.
     max_attempts : int
-        Most upstream instances that one request may be sent to.
+        Maximum number of upstream instances that one request is sent to.
     priority : int
-        Rank, 0 first.
+        Priority of its requests, 0 first.
     is_public : bool
-        Whether it is served without a key.
+        Whether requests are served without an API key.
     can_resume : bool
-        Whether a stream may go on at another instance.
+        Whether a stream may be resumed at another instance.
     homes : frozenset of str or None
         Regions in which its requests may run; None for any.
     """
@@ -101,17 +101,17 @@
     homes: Homes | None = None
 
     def is_idempotent(self) -> bool:
-        """Tell whether a request may run more than once."""
+        """Return whether a request may run more than once."""
         if self.kind is RouteKind.stream:
             return self.can_resume
         return self.kind is RouteKind.safe
 
     def is_stream(self) -> bool:
-        """Tell whether answers are event streams."""
+        """Return whether answers are event streams."""
         return self.kind is RouteKind.stream
 
     def get_final_steps(self) -> tuple[int, ...]:
-        """Return the positions of the steps that no other step follows."""
+        """Return the positions of the stages that no other stage depends on."""
         followed = {
             position for stage in self.stages for position in stage.after
         }
--- a/packages/ragworthollow/src/ragworthollow/routes/route_table.py
+++ b/packages/ragworthollow/src/ragworthollow/routes/route_table.py
@@ -1,4 +1,4 @@
-"""Look routes and keys up in one version of the configuration."""
+"""Look up routes and API keys in one version of the configuration."""
 
 from collections.abc import Iterable, Mapping
 
@@ -10,7 +10,7 @@
 
 class RouteTable:
     """
-    Hold one version of routes, pools, keys and limits.
+    Hold one version of the routes, pools, API keys and limits.
 
     Parameters
     ----------
@@ -21,11 +21,11 @@
     pools : mapping of str to UpstreamPool
         Pools by name.
     holders_by_key : mapping of str to KeyHolder
-        Organisations by their keys.
+        Organisations by API key.
     requires_key : bool
-        Whether routes that are not public need a known key.
+        Whether routes that are not public require a known API key.
     limits : RequestLimits
-        What callers may send.
+        Limits on what callers may send.
     """
 
     def __init__(
@@ -49,17 +49,17 @@
 
     def match(self, host: str, path: str) -> Route | None:
         """
-        Return the route with the longest prefix that begins a path.
+        Return the route with the longest matching path prefix.
 
-        The lookup costs one step for each slash of the path, whatever the
+        The lookup takes one step per slash in the path, regardless of the
         number of routes.
 
         Parameters
         ----------
         host : str
-            As the caller wrote it, with or without a port.
+            Host as the caller sent it, with or without a port.
         path : str
-            Path without its query.
+            Path without its query string.
         """
         by_prefix = self._by_host.get(host.partition(':')[0].lower())
         if by_prefix is None:
@@ -75,5 +75,5 @@
         return None
 
     def identify(self, key: str) -> KeyHolder | None:
-        """Return who holds a key, or None for an unknown one."""
+        """Return the owner of an API key, or None for an unknown key."""
         return self._holders_by_key.get(key)
--- a/packages/ragworthollow/src/ragworthollow/routes/upstream_pool.py
+++ b/packages/ragworthollow/src/ragworthollow/routes/upstream_pool.py
@@ -1,4 +1,4 @@
-"""Define a pool of upstream instances as routes see it."""
+"""Define the configuration of a pool of upstream instances."""
 
 from dataclasses import dataclass
 
@@ -6,22 +6,22 @@
 @dataclass(frozen=True, kw_only=True, slots=True)
 class PieceProfile:
     """
-    Describe how the instances of a pool work on pieces.
+    Describe how the instances of a pool process pieces.
 
     Attributes
     ----------
     concurrency : int
-        Calls that one instance works on at a time.
+        Calls that one instance processes concurrently.
     batch_limit : int
-        Most pieces of one call.
+        Maximum number of pieces per call.
     call_ms : float
-        Time of a call beside its pieces.
+        Fixed time of a call, without its pieces.
     piece_ms : float
-        Approximate time of one piece.
+        Approximate additional time per piece.
     room_bytes : int
-        Space for results at one instance.
+        Storage for results at one instance.
     kept_ms : float
-        How long a result is kept that nobody frees.
+        How long an instance keeps a result that is not freed.
     """
 
     concurrency: int
@@ -32,7 +32,7 @@
     kept_ms: float
 
     def estimate_ms(self, pieces: int) -> float:
-        """Return the expected time of a call in milliseconds."""
+        """Return the expected duration of a call in milliseconds."""
         return self.call_ms + self.piece_ms * pieces
 
 
@@ -44,17 +44,18 @@
     Attributes
     ----------
     name : str
-        Name, as routes use it.
+        Name that routes refer to.
     max_connections : int
-        Connections that one instance accepts from all callers together.
+        Maximum connections that one instance accepts from all clients together.
     pieces : PieceProfile or None
-        Set when the pool serves stages.
+        Set if the pool runs stages.
     is_engine : bool
         Whether its instances are model engines.
     warm_up_ms : float
-        How long an instance warms up after its start; 0 for not at all.
+        How long an instance warms up after its start; 0 for no warm-up.
     warm_up_per_s : float
-        Requests a second that it tolerates meanwhile; 0 for any number.
+        Requests per second that an instance tolerates while it warms up; 0
+        for no limit.
     """
 
     name: str
--- a/packages/ragworthollow/src/ragworthollow/upstreams/__init__.py
+++ b/packages/ragworthollow/src/ragworthollow/upstreams/__init__.py
@@ -1,4 +1,4 @@
-"""Know the upstream instances and choose among them."""
+"""Track upstream instances and select one for each attempt."""
 
 from ragworthollow.upstreams.answer_time import AnswerTime
 from ragworthollow.upstreams.choice import UpstreamWish, choose_upstream
--- a/packages/ragworthollow/src/ragworthollow/upstreams/answer_time.py
+++ b/packages/ragworthollow/src/ragworthollow/upstreams/answer_time.py
@@ -1,4 +1,4 @@
-"""Learn how long a pool takes to the first event of an answer."""
+"""Estimate the time to the first event of a pool's answers."""
 
 from dataclasses import dataclass
 
@@ -8,14 +8,14 @@
 @dataclass(kw_only=True, slots=True)
 class AnswerTime:
     """
-    Fit the time to the first event to the length of the prompt.
-
-    An engine reads the prompt before its first event: tens of milliseconds
-    for a short one, a second for the longest, more where it serves many.  A
-    request whose stage work ends at its objective is late by that time, so
-    the latest start of each stage has to know it.  The fit is a least-squares
-    line whose older samples fade, so that it follows the load and needs no
-    figure of the engines.
+    Estimate the time to the first event from the length of the prompt.
+
+    An engine processes the prompt before it sends its first event: tens of
+    milliseconds for a short prompt, a second for the longest, and more under
+    load.  A request whose stages finish exactly at its objective is late by
+    that time, so the latest start of each stage takes it into account.  The
+    estimate is a least-squares line over exponentially weighted samples, so
+    it follows the load and needs no configured engine parameters.
     """
 
     _weight: float = 0
@@ -26,31 +26,31 @@
 
     def note(self, tokens: int, took_ms: float) -> None:
         """
-        Take one answer.
+        Record one answer.
 
         Parameters
         ----------
         tokens : int
-            Length of its prompt.
+            Length of the prompt.
         took_ms : float
-            From sending the request to its first event.
+            Time from sending the request to the first event.
         """
-        kept = 1 - 1 / global_settings.ANSWER_TIME_SAMPLES
-        self._weight = self._weight * kept + 1
-        self._tokens = self._tokens * kept + tokens
-        self._took = self._took * kept + took_ms
-        self._tokens_squared = self._tokens_squared * kept + tokens**2
-        self._tokens_took = self._tokens_took * kept + tokens * took_ms
+        decay = 1 - 1 / global_settings.ANSWER_TIME_SAMPLES
+        self._weight = self._weight * decay + 1
+        self._tokens = self._tokens * decay + tokens
+        self._took = self._took * decay + took_ms
+        self._tokens_squared = self._tokens_squared * decay + tokens**2
+        self._tokens_took = self._tokens_took * decay + tokens * took_ms
 
     def estimate_ms(self, tokens: int) -> float:
-        """Return the expected time to the first event; 0 when not known."""
+        """Return the expected time to the first event; 0 if unknown."""
         if self._weight < global_settings.ANSWER_TIME_LEAST_SAMPLES:
             return 0
         mean_tokens = self._tokens / self._weight
         mean_ms = self._took / self._weight
-        spread = self._tokens_squared / self._weight - mean_tokens**2
-        shared = self._tokens_took / self._weight - mean_tokens * mean_ms
-        # Prompts of one length tell nothing of the others, and a longer one
-        # is never read sooner: a slope below 0 is chance.
-        slope = max(0, shared / spread) if spread >= 1 else 0
+        variance = self._tokens_squared / self._weight - mean_tokens**2
+        covariance = self._tokens_took / self._weight - mean_tokens * mean_ms
+        # Prompts of a single length determine no slope, and a longer prompt is
+        # never processed faster, so a negative slope is noise.
+        slope = max(0, covariance / variance) if variance >= 1 else 0
         return max(0, mean_ms + slope * (tokens - mean_tokens))
--- a/packages/ragworthollow/src/ragworthollow/upstreams/choice.py
+++ b/packages/ragworthollow/src/ragworthollow/upstreams/choice.py
@@ -1,4 +1,4 @@
-"""Choose the upstream instance for one attempt."""
+"""Select the upstream instance for an attempt."""
 
 import random
 from collections.abc import Sequence
@@ -13,16 +13,16 @@
 @dataclass(frozen=True, kw_only=True, slots=True)
 class UpstreamWish:
     """
-    Say what an attempt wants of its instance.
+    Hold the selection criteria of one attempt.
 
     Attributes
     ----------
     affinity_key : str
-        Requests of the same key share a cached prompt; empty for none.
+        Key of the cached prompt that requests share; empty for none.
     avoid : frozenset of str
-        Instances already tried.
+        Instances that were already tried.
     failure_domain : str
-        Where the caller of the instance runs.
+        Failure domain of the process that sends the request.
     """
 
     affinity_key: str = ''
@@ -38,69 +38,77 @@
     rng: random.Random,
 ) -> UpstreamInstance | None:
     """
-    Choose an instance.
+    Select an instance by prompt affinity and load.
 
     Requests that share a prompt go to the instance that ranks highest for
-    it, as long as that one holds no more than `AFFINITY_LOAD_FACTOR` times
-    the mean plus `AFFINITY_LOAD_SLACK`; the next in rank follows, so that an
-    overflow finds its prompt cached as well.  All others go to the least
-    loaded.  Suspect instances come last, not never: when every instance is
-    suspect, some answer beats none.
+    it in rendezvous hashing, as long as its load is at most
+    `AFFINITY_LOAD_FACTOR` times the mean plus `AFFINITY_LOAD_SLACK`.  Beyond
+    that they go to the next in rank, so that overflowing requests also find
+    their prompt cached.  All other requests go to the least loaded instance.
+    Suspect instances are used only if no other is left, since an attempt that
+    may fail is better than none.
 
     Parameters
     ----------
     instances : sequence of UpstreamInstance
-        Of one pool.
+        Instances of one pool.
     book : LoadBook
-        What is known of them.
+        Load and health of the instances.
     wish : UpstreamWish
-        What the attempt wants.
+        Selection criteria of the attempt.
     now_ms : float
         Time on the monotonic clock.
     rng : Random
-        Breaks ties.
+        Source of randomness that breaks ties.
 
     Returns
     -------
     UpstreamInstance or None
-        None when no instance is left to try.
+        None if no instance is left to try.
     """
-    untried = [one for one in instances if one.instance not in wish.avoid]
+    untried = [
+        candidate
+        for candidate in instances
+        if candidate.instance not in wish.avoid
+    ]
     trusted = [
-        one
-        for one in untried
-        if book.get(one.instance).suspect_until_ms <= now_ms
+        candidate
+        for candidate in untried
+        if book.get(candidate.instance).suspect_until_ms <= now_ms
     ]
     candidates = trusted or untried
     if not candidates:
         return None
-    depths = {one.instance: _get_depth(one, book, now_ms) for one in candidates}
+    depths = {
+        candidate.instance: _get_depth(candidate, book, now_ms)
+        for candidate in candidates
+    }
     if not wish.affinity_key:
         return min(
             candidates,
-            key=lambda one: (depths[one.instance], rng.random()),
+            key=lambda candidate: (depths[candidate.instance], rng.random()),
         )
     limit = _get_limit(depths)
     ranked = sorted(
         candidates,
-        key=lambda one: get_rank(wish.affinity_key, one.instance),
+        key=lambda candidate: get_rank(wish.affinity_key, candidate.instance),
         reverse=True,
     )
-    for one in ranked:
-        if depths[one.instance] <= limit:
-            return one
+    for candidate in ranked:
+        if depths[candidate.instance] <= limit:
+            return candidate
     return ranked[0]
 
 
 def _get_depth(
-    one: UpstreamInstance,
+    candidate: UpstreamInstance,
     book: LoadBook,
     now_ms: float,
 ) -> float:
-    """Return the load in shares of the instance's slots."""
-    record = book.get(one.instance)
+    """Return the load as a fraction of the instance's slots."""
+    record = book.get(candidate.instance)
     others = record.get_others(now_ms) * global_settings.REPORTED_LOAD_TRUST
-    return (record.in_flight + others) / max(1, one.slots)
+    return (record.in_flight + others) / max(1, candidate.slots)
 
 
 def _get_limit(depths: dict[str, float]) -> float:
--- a/packages/ragworthollow/src/ragworthollow/upstreams/directory.py
+++ b/packages/ragworthollow/src/ragworthollow/upstreams/directory.py
@@ -1,4 +1,4 @@
-"""Hold the upstream instances that may get work."""
+"""Track the upstream instances that may receive requests."""
 
 import math
 from collections.abc import Iterable, Mapping
@@ -14,17 +14,17 @@
 @dataclass(frozen=True, kw_only=True, slots=True)
 class DirectoryChange:
     """
-    Say what a new list changed.
+    Describe how a new list changed the directory.
 
     Attributes
     ----------
     appeared : tuple of str
-        Instances that may get work from now on.
+        Instances that may receive requests from now on.
     left : tuple of str
-        Instances that get no further work.
+        Instances that receive no further requests.
     restarted : tuple of str
-        Instances that started again under their identifier: nothing that was
-        known of them holds any more.
+        Instances that restarted under the same identifier; everything that
+        was known about them is obsolete.
     """
 
     appeared: tuple[str, ...]
@@ -32,38 +32,38 @@
     restarted: tuple[str, ...] = ()
 
     def __bool__(self) -> bool:
-        """Tell whether anything changed."""
+        """Return whether anything changed."""
         return bool(self.appeared or self.left or self.restarted)
 
 
 class Directory:
     """
-    Know which instances may get work.
+    Track which instances may receive requests.
 
-    An instance that announces its leaving, or whose entry is gone, gets no
-    new work from the moment at which the list is taken.  One exception: a
-    store that was away may have let the entries of live instances lapse, and
-    these come back within seconds of its return.  Dropping them at once would
-    empty the pools, so entries that are missing are kept until
-    `LAPSED_ENTRY_MS` after the first list that could be read again.
+    An instance that announces its shutdown, or whose entry is gone, receives
+    no new requests once the list is applied.  There is one exception: during
+    an outage of the store, the entries of live instances may expire, and they
+    return within seconds of its recovery.  Removing them at once would empty
+    the pools, so missing entries are kept until `LAPSED_ENTRY_MS` after the
+    first list that is read after the outage.
 
-    The time counts from that list, not from when an entry goes missing: one
-    that goes a second after the store is back has left, and would get requests
-    where it was kept for as long again.
+    This period starts with that list, not when an entry goes missing.  An
+    instance whose entry disappears a second after the store has recovered has
+    shut down, and would receive requests if it was kept for a full period.
 
-    What an instance says of itself in an answer goes before any list: while the
-    store is away, its list shows what was true before.
+    What an instance states in an answer takes precedence over any list: during
+    an outage of the store, the last list is out of date.
 
-    Instances in a drained failure domain get nothing either, until the drain
-    ends.  Where nothing else is left their pool is empty: the operators have
-    said that no work may go there.
+    Instances in a drained failure domain receive no requests until the drain
+    ends.  If no other instances are left, their pool is empty, since operators
+    have ruled that no requests may go there.
 
     Attributes
     ----------
     drains : DomainDrains
-        Failure domains that are drained.
+        Drained failure domains.
     updated_ms : float
-        When the list in force was asked for, on the monotonic clock.
+        Time at which the current list was requested, on the monotonic clock.
     """
 
     def __init__(self) -> None:
@@ -78,7 +78,7 @@
         self.updated_ms = float('-inf')
 
     def note_outage(self) -> None:
-        """Note that the list could not be read."""
+        """Record that the list could not be read."""
         self._is_away = True
 
     def replace(
@@ -88,35 +88,35 @@
         drained: Iterable[str] = (),
     ) -> DirectoryChange:
         """
-        Take a whole list.
+        Replace the list of instances.
 
         Parameters
         ----------
         listed : iterable of UpstreamInstance
-            Every entry, leaving ones included.
+            All entries, including instances that are shutting down.
         now_ms : float
-            When the list was asked for, on the monotonic clock.
+            Time at which the list was requested, on the monotonic clock.
         drained : iterable of str
-            Failure domains that are drained, as of the same moment.
+            Drained failure domains at the same time.
 
         Returns
         -------
         DirectoryChange
-            Which instances appeared and which get no further work.
+            Instances that appeared, left or restarted.
         """
         self.drains.replace(drained, now_ms)
         if self._is_away:
             self._is_away = False
             self._returned_ms = now_ms
-        everything = {entry.instance: entry for entry in listed}
+        entries_by_id = {entry.instance: entry for entry in listed}
         fresh = {
             name: entry
-            for name, entry in everything.items()
+            for name, entry in entries_by_id.items()
             if not entry.is_leaving and not self._has_said_leaving(entry)
         }
         self._missing_since_ms = {
             name: self._missing_since_ms.get(name, now_ms)
-            for name in self._by_id.keys() - everything.keys()
+            for name in self._by_id.keys() - entries_by_id.keys()
         }
         for name in self._missing_since_ms:
             if self._is_excused(name, now_ms):
@@ -133,24 +133,24 @@
         return change
 
     def is_known(self) -> bool:
-        """Tell whether any list has been taken."""
+        """Return whether any list has been applied."""
         return math.isfinite(self.updated_ms)
 
     def note_leaving(self, incarnation: str, since_ms: float) -> bool:
         """
-        Give an instance that has said it leaves no further work.
+        Stop sending to an instance that has announced its shutdown.
 
         Parameters
         ----------
         incarnation : str
-            Start of an instance; another one under its name is not meant.
+            Incarnation of the instance; others under its name are unaffected.
         since_ms : float
-            When it said so, on the monotonic clock.
+            Time of the announcement, on the monotonic clock.
 
         Returns
         -------
         bool
-            False when that was known.
+            False if the shutdown was already known.
         """
         is_new = self._notices.note_leaving(incarnation, since_ms)
         if is_new:
@@ -163,45 +163,47 @@
         return is_new
 
     def get_leaving(self) -> Mapping[str, float]:
-        """Return since when instances leave that have said so."""
+        """Return when each instance announced its shutdown."""
         return self._notices.get_leaving()
 
     def note_pause(self, instance: UpstreamInstance, until_ms: float) -> None:
-        """Give an instance nothing until a time on the monotonic clock."""
+        """Pause an instance until a time on the monotonic clock."""
         self._notices.note_pause(instance.get_incarnation(), until_ms)
 
     def get_pause_left_ms(self, instance: UpstreamInstance) -> float:
-        """Return for how long an instance wants nothing; 0 if it does."""
+        """Return the rest of an instance's pause; 0 if it is not paused."""
         return self._notices.get_pause_left_ms(
             instance.get_incarnation(),
             get_monotonic_ms(),
         )
 
     def get_pool_pause_ms(self, pool: str) -> float:
-        """Return how long no instance of a pool wants work; 0 if any does."""
+        """Return the shortest remaining pause in a pool; 0 if any has none."""
         pauses_ms = map(self.get_pause_left_ms, self._by_pool.get(pool, ()))
         return min(pauses_ms, default=0)
 
     def get_pool(self, pool: str) -> tuple[UpstreamInstance, ...]:
-        """Return the instances of a pool that may get work now."""
+        """Return the instances of a pool that may receive requests now."""
         members = self._by_pool.get(pool, ())
         if not self._notices.has_pauses():
             return members
-        return tuple(one for one in members if not self.get_pause_left_ms(one))
+        return tuple(
+            entry for entry in members if not self.get_pause_left_ms(entry)
+        )
 
     def is_pool_drained(self, pool: str) -> bool:
-        """Tell whether a pool is empty since its domains are drained."""
+        """Return whether a pool is empty because its domains are drained."""
         return pool in self._pools_drained and not self._by_pool.get(pool)
 
     def get(self, instance: str) -> UpstreamInstance | None:
-        """Return an instance that may get work, or None."""
+        """Return an instance that may receive requests, or None."""
         return self._by_id.get(instance)
 
     def find_at(self, pool: str, address: str) -> UpstreamInstance | None:
         """Return the instance of a pool at an address, or None."""
-        for one in self._by_pool.get(pool, ()):
-            if one.address == address:
-                return one
+        for entry in self._by_pool.get(pool, ()):
+            if entry.address == address:
+                return entry
         return None
 
     def _has_said_leaving(self, entry: UpstreamInstance) -> bool:
@@ -211,7 +213,7 @@
         self,
         fresh: Mapping[str, UpstreamInstance],
     ) -> dict[str, UpstreamInstance]:
-        """Return the instances outside of drained domains."""
+        """Return the instances outside drained failure domains."""
         serving = {
             name: entry
             for name, entry in fresh.items()
@@ -235,9 +237,10 @@
 
     def _is_excused(self, name: str, now_ms: float) -> bool:
         """
-        Tell whether an entry that is missing may have lapsed in an outage.
+        Return whether a missing entry may have expired during an outage.
 
-        Lists that are lost again and again must not keep it for ever.
+        Repeated outages must not keep an entry indefinitely, so the period
+        never starts later than the time at which the entry went missing.
         """
         since_ms = min(self._returned_ms, self._missing_since_ms[name])
         return now_ms - since_ms < global_settings.LAPSED_ENTRY_MS
@@ -250,6 +253,6 @@
     for entry in instances:
         grouped.setdefault(entry.pool, []).append(entry)
     return {
-        pool: tuple(sorted(members, key=lambda one: one.instance))
+        pool: tuple(sorted(members, key=lambda member: member.instance))
         for pool, members in grouped.items()
     }
--- a/packages/ragworthollow/src/ragworthollow/upstreams/domain_drains.py
+++ b/packages/ragworthollow/src/ragworthollow/upstreams/domain_drains.py
@@ -1,14 +1,14 @@
-"""Keep which failure domains are drained."""
+"""Track which failure domains are drained."""
 
 from collections.abc import Iterable, Mapping
 
 
 class DomainDrains:
     """
-    Know the failure domains whose instances get nothing, and since when.
+    Track the drained failure domains and since when they are drained.
 
-    The instances of a drained domain go on with what they have, and results
-    that they hold can still be read there.
+    The instances of a drained domain receive no new requests.  They finish
+    the requests they have, and results stored there can still be read.
     """
 
     def __init__(self) -> None:
@@ -20,19 +20,19 @@
         now_ms: float,
     ) -> frozenset[str]:
         """
-        Take all domains that are drained.
+        Replace the set of drained domains.
 
         Parameters
         ----------
         drained : iterable of str
-            Their names; one without instances does no harm.
+            Names of all drained domains; a domain without instances is ignored.
         now_ms : float
-            Time on the monotonic clock.
+            Current time on the monotonic clock.
 
         Returns
         -------
         frozenset of str
-            Domains that may get work again.
+            Domains that are no longer drained.
         """
         earlier = self._since_ms
         self._since_ms = {
@@ -41,9 +41,9 @@
         return frozenset(earlier.keys() - self._since_ms.keys())
 
     def is_drained(self, failure_domain: str) -> bool:
-        """Tell whether the instances of a domain get nothing."""
+        """Return whether a failure domain is drained."""
         return failure_domain in self._since_ms
 
     def get_since_ms(self) -> Mapping[str, float]:
-        """Return since when each domain is drained, on the monotonic clock."""
+        """Return the drain start of each domain, on the monotonic clock."""
         return self._since_ms
--- a/packages/ragworthollow/src/ragworthollow/upstreams/instance_load.py
+++ b/packages/ragworthollow/src/ragworthollow/upstreams/instance_load.py
@@ -1,4 +1,4 @@
-"""Define what an upstream instance said of its load."""
+"""Define the load report of an upstream instance."""
 
 from dataclasses import dataclass
 
@@ -6,16 +6,16 @@
 @dataclass(frozen=True, kw_only=True, slots=True)
 class InstanceLoad:
     """
-    Hold one report.
+    Hold one load report.
 
     Attributes
     ----------
     running : int
-        Requests it worked on.
+        Requests that the instance was processing.
     waiting : int
         Requests in its queue.
     slots : int
-        Requests it can work on at a time.
+        Requests that it can process concurrently.
     """
 
     running: int
--- a/packages/ragworthollow/src/ragworthollow/upstreams/instance_notices.py
+++ b/packages/ragworthollow/src/ragworthollow/upstreams/instance_notices.py
@@ -1,4 +1,4 @@
-"""Keep what instances have said of themselves in their answers."""
+"""Track what instances state about themselves in their answers."""
 
 from collections.abc import Mapping
 
@@ -7,10 +7,10 @@
 
 class InstanceNotices:
     """
-    Know which instances have said that they leave, or want a pause.
+    Track instances that announced their shutdown or asked for a pause.
 
-    Both hold for one start of an instance.  That it leaves is never taken
-    back: the store may be away, or an older list come later.
+    Both apply to a single incarnation.  A shutdown is never revoked, since
+    the store may be unavailable or an outdated list may arrive later.
     """
 
     def __init__(self) -> None:
@@ -18,7 +18,7 @@
         self._paused_until_ms: dict[str, float] = {}
 
     def note_leaving(self, incarnation: str, since_ms: float) -> bool:
-        """Take it that an instance leaves; False when that was known."""
+        """Record a shutdown; return False if it was already known."""
         if incarnation in self._leaving_since_ms:
             return False
         self._leaving_since_ms[incarnation] = since_ms
@@ -27,24 +27,24 @@
         return True
 
     def is_leaving(self, incarnation: str) -> bool:
-        """Tell whether an instance has said that it leaves."""
+        """Return whether an instance has announced its shutdown."""
         return incarnation in self._leaving_since_ms
 
     def get_leaving(self) -> Mapping[str, float]:
-        """Return since when instances leave that have said so."""
+        """Return when each instance announced its shutdown."""
         return self._leaving_since_ms
 
     def note_pause(self, incarnation: str, until_ms: float) -> None:
-        """Take it that an instance wants nothing until some time."""
+        """Record that an instance wants no requests until a given time."""
         known_ms = self._paused_until_ms.get(incarnation, until_ms)
         self._paused_until_ms[incarnation] = max(known_ms, until_ms)
 
     def has_pauses(self) -> bool:
-        """Tell whether any instance may want a pause."""
+        """Return whether any instance may have asked for a pause."""
         return bool(self._paused_until_ms)
 
     def get_pause_left_ms(self, incarnation: str, now_ms: float) -> float:
-        """Return for how long an instance wants nothing; 0 if it does."""
+        """Return the rest of an instance's pause; 0 if it is not paused."""
         left_ms = self._paused_until_ms.get(incarnation, now_ms) - now_ms
         if left_ms > 0:
             return left_ms
--- a/packages/ragworthollow/src/ragworthollow/upstreams/load_book.py
+++ b/packages/ragworthollow/src/ragworthollow/upstreams/load_book.py
@@ -1,4 +1,4 @@
-"""Keep what is known of each instance's load and health."""
+"""Track the load and health of each instance."""
 
 from dataclasses import dataclass, field
 
@@ -9,22 +9,23 @@
 @dataclass(kw_only=True, slots=True)
 class InstanceRecord:
     """
-    Hold what this process knows of one instance.
+    Hold the load and health of one instance as seen by this process.
 
     Attributes
     ----------
     in_flight : int
-        Requests of this process that it has not answered.
+        Unanswered requests that this process has sent to the instance.
     load : InstanceLoad or None
-        Its newest report.
+        Latest load report of the instance.
     reported_ms : float
-        When the report arrived, on the monotonic clock.
+        Time at which the report arrived, on the monotonic clock.
     own_at_report : int
-        `in_flight` when the report arrived.
+        Value of `in_flight` when the report arrived.
     suspect_until_ms : float
-        Until when it is used only as a last resort.
+        Time until which the instance is used only as a last resort, on the
+        monotonic clock.
     failures : int
-        Failures in a row.
+        Number of consecutive failures.
     """
 
     in_flight: int = 0
@@ -35,7 +36,7 @@
     failures: int = 0
 
     def get_others(self, now_ms: float) -> int:
-        """Return requests of other processes, by the newest report."""
+        """Return the requests of other processes, by the latest report."""
         age_ms = now_ms - self.reported_ms
         if self.load is None or age_ms > global_settings.LOAD_STALE_MS:
             return 0
@@ -44,13 +45,13 @@
 
 
 class LoadBook:
-    """Hold one record for each instance."""
+    """Hold the load and health record of each instance."""
 
     def __init__(self) -> None:
         self._records: dict[str, InstanceRecord] = {}
 
     def get(self, instance: str) -> InstanceRecord:
-        """Return the record of an instance, a new one if need be."""
+        """Return the record of an instance, creating it if necessary."""
         record = self._records.get(instance)
         if record is None:
             record = InstanceRecord()
@@ -58,17 +59,17 @@
         return record
 
     def forget(self, instance: str) -> None:
-        """Drop an instance that is gone for good."""
+        """Remove the record of a terminated instance, unless it is in use."""
         record = self._records.get(instance)
         if record is not None and not record.in_flight:
             self._records.pop(instance)
 
     def forget_incarnation(self, instance: str) -> None:
         """
-        Begin a new record for an instance that has started again.
+        Discard the record of an instance that has restarted.
 
-        Requests that are still counted at its earlier incarnation keep their
-        old record, so that their ends change nothing here.
+        Requests sent to the earlier incarnation keep a reference to the old
+        record, so their completion does not affect the new one.
         """
         self._records.pop(instance, None)
 
@@ -78,24 +79,24 @@
         load: InstanceLoad,
         now_ms: float,
     ) -> None:
-        """Take a report that came with an answer."""
+        """Record a load report that came with an answer."""
         record = self.get(instance)
         record.load = load
         record.reported_ms = now_ms
         record.own_at_report = record.in_flight
 
     def note_success(self, instance: str) -> None:
-        """Trust an instance again."""
+        """Reset the failure count and the suspicion of an instance."""
         record = self.get(instance)
         record.failures = 0
         record.suspect_until_ms = float('-inf')
 
     def note_failure(self, instance: str, now_ms: float) -> None:
         """
-        Avoid an instance for a while.
+        Mark an instance as suspect for a limited time.
 
-        The time doubles with each failure in a row, so that a dead instance
-        costs few attempts and one stray failure costs little.
+        The time doubles with each consecutive failure, so that a dead
+        instance costs few attempts and a single failure costs little.
         """
         record = self.get(instance)
         doublings = min(
--- a/packages/ragworthollow/src/ragworthollow/upstreams/operator_messages.py
+++ b/packages/ragworthollow/src/ragworthollow/upstreams/operator_messages.py
@@ -1,4 +1,4 @@
-"""Define what operators and gateways say of instances that get less work."""
+"""Define messages about instances that receive fewer requests."""
 
 from ragworthollow.utils.message import Message
 
@@ -7,14 +7,14 @@
 
 class DrainedDomain(Message, omit_defaults=False):
     """
-    Show a failure domain that is drained.
+    Describe a drained failure domain.
 
     Attributes
     ----------
     failure_domain : str
-        Its name.
+        Name of the failure domain.
     drained_ms : float
-        For how long this gateway has sent nothing there.
+        How long this gateway has sent no requests there.
     """
 
     failure_domain: str
@@ -23,19 +23,19 @@
 
 class WarmingInstance(Message, omit_defaults=False):
     """
-    Show an instance that warms up.
+    Describe an instance that is warming up.
 
     Attributes
     ----------
     instance, pool : str
-        Which one.
+        Names of the instance and of its pool.
     left_ms : float
-        How much longer it does.
+        Remaining warm-up time.
     is_sender : bool
-        Whether this gateway may send to it at all.
+        Whether this gateway may send requests to the instance at all.
     burst : int or None
-        Requests that it may get in one second from all gateways; None for
-        any number.
+        Maximum requests that the instance may receive in one second from all
+        gateways together; None for no limit.
     """
 
     instance: str
@@ -47,18 +47,18 @@
 
 class LimitedInstance(Message, omit_defaults=False):
     """
-    Show an instance that has named a limit.
+    Describe an instance that has stated a rate limit.
 
     Attributes
     ----------
     instance, pool : str
-        Which one.
+        Names of the instance and of its pool.
     requests_per_s : float
-        What it takes from all gateways together.
+        Requests per second that it accepts from all gateways together.
     named_age_ms : float
-        How long ago it was last heard to say so.
+        Time since the instance last stated the limit.
     is_sender : bool
-        Whether this gateway may send to it at all.
+        Whether this gateway may send requests to the instance at all.
     """
 
     instance: str
@@ -70,18 +70,18 @@
 
 class InstancesView(Message, omit_defaults=False):
     """
-    Show where a gateway sends less, and what it has refused for that.
+    Describe where a gateway limits its requests and what it has refused.
 
     Attributes
     ----------
     drained : tuple of DrainedDomain
-        Failure domains that get nothing.
+        Failure domains that receive no requests.
     warming : tuple of WarmingInstance
-        Instances that get what they bear.
+        Instances that are warming up and receive a reduced rate.
     limited : tuple of LimitedInstance
-        Instances that get what they have said they take.
+        Instances that receive at most the rate that they have stated.
     refused : dict of str to int
-        Requests refused here since the start, by reason.
+        Requests refused for that by this gateway since its start, by reason.
     """
 
     drained: tuple[DrainedDomain, ...] = ()
--- a/packages/ragworthollow/src/ragworthollow/upstreams/upstream_instance.py
+++ b/packages/ragworthollow/src/ragworthollow/upstreams/upstream_instance.py
@@ -1,4 +1,4 @@
-"""Define one upstream instance as its list entry shows it."""
+"""Define an upstream instance as described by its list entry."""
 
 from dataclasses import dataclass
 
@@ -11,24 +11,24 @@
     Attributes
     ----------
     instance : str
-        Identifier; one that starts again may keep it.
+        Identifier; an instance that restarts may keep it.
     pool : str
-        Pool that it belongs to.
+        Pool that the instance belongs to.
     address : str
-        Where it listens, `IP:PORT`; another pool may use it later.
+        Listening address, `IP:PORT`; may later be reused by another pool.
     failure_domain : str
-        Where it runs.
+        Failure domain in which the instance runs.
     slots : int
-        Requests that it works on at a time.
+        Requests that the instance can process concurrently.
     is_leaving : bool
-        Whether it has announced that it will stop.
+        Whether the instance has announced its shutdown.
     started_unix_ms : int
-        When it started, which tells its incarnations apart; 0 when its entry
-        does not say.
+        Start time, which distinguishes incarnations; 0 if the entry does not
+        state it.
     region : str
-        Region of its failure domain; empty when that is not known.
+        Region of the failure domain; empty if unknown.
     warm_up_left_ms : float
-        How much longer it warmed up when its entry was written.
+        Remaining warm-up time when the entry was written.
     """
 
     instance: str
@@ -42,11 +42,11 @@
     warm_up_left_ms: float = 0
 
     def get_incarnation(self) -> str:
-        """Return a name that no other start of any instance has."""
+        """Return an identifier that is unique to this incarnation."""
         return f'{self.instance}@{self.started_unix_ms}'
 
     def is_same_incarnation(self, other: 'UpstreamInstance') -> bool:
-        """Tell whether another entry shows the same start of an instance."""
+        """Return whether another entry describes the same incarnation."""
         return (self.instance, self.started_unix_ms) == (
             other.instance,
             other.started_unix_ms,
