--- a/packages/ragworthollow/src/ragworthollow/exchange/__init__.py
+++ b/packages/ragworthollow/src/ragworthollow/exchange/__init__.py
@@ -1,4 +1,4 @@
-"""Describe a request and its answers independently of any protocol."""
+"""Describe a request and its responses independently of any protocol."""
 
 from ragworthollow.exchange.answer_marks import AnswerMarks
 from ragworthollow.exchange.request_terms import PromptPart, RequestTerms
--- a/packages/ragworthollow/src/ragworthollow/exchange/answer_marks.py
+++ b/packages/ragworthollow/src/ragworthollow/exchange/answer_marks.py
@@ -1,4 +1,4 @@
-"""Define the metadata of an upstream's answer."""
+"""Define the metadata of an upstream's response."""
 
 from dataclasses import dataclass
 
@@ -8,16 +8,16 @@
 @dataclass(frozen=True, kw_only=True, slots=True)
 class AnswerMarks:
     """
-    Hold what one answer says besides its body.
+    Hold what one response says besides its body.
 
     Attributes
     ----------
     request_id : str
-        Request that the answer belongs to, according to the upstream.
+        Request that the response belongs to, according to the upstream.
     is_signed : bool
-        Whether the upstream has signed the answer.
+        Whether the upstream has signed the response.
     is_not_run : bool
-        Whether the answer proves that the request has not run and will not
+        Whether the response proves that the request has not run and will not
         run.
     is_misdirected : bool
         Whether an incarnation other than the intended one listens at the
--- a/packages/ragworthollow/src/ragworthollow/exchange/request_terms.py
+++ b/packages/ragworthollow/src/ragworthollow/exchange/request_terms.py
@@ -60,7 +60,7 @@
         Return the deepest prompt part that other requests may share.
 
         The part identifies all parts before it, since engines reuse a cached
-        part only if all earlier ones match as well.
+        part only if all earlier parts match as well.
         """
         if not self.prompt_parts:
             return ''
--- a/packages/ragworthollow/src/ragworthollow/exchange/upstream_order.py
+++ b/packages/ragworthollow/src/ragworthollow/exchange/upstream_order.py
@@ -11,7 +11,7 @@
     Attributes
     ----------
     instance : str
-        Intended incarnation; any other must refuse the request.
+        Intended incarnation; all others must refuse the request.
     organisation : str
         Organisation that owns the caller's key; empty for none.
     time_limit_ms : float
--- a/packages/ragworthollow/src/ragworthollow/exchange/usual_limits.py
+++ b/packages/ragworthollow/src/ragworthollow/exchange/usual_limits.py
@@ -1,4 +1,4 @@
-"""Distinguish retried requests from first ones by their time limits."""
+"""Distinguish retried requests from first attempts by their limits."""
 
 import statistics
 from collections import deque
--- a/packages/ragworthollow/src/ragworthollow/outcomes/outcome.py
+++ b/packages/ragworthollow/src/ragworthollow/outcomes/outcome.py
@@ -7,13 +7,13 @@
     """Describe what is known about the effect of an attempt."""
 
     done = 'done'
-    """The complete answer was received."""
+    """The complete response was received."""
 
     not_run = 'not_run'
     """No upstream ran the request, and whoever reports this can prove it."""
 
     failed = 'failed'
-    """The upstream ran the request and answered with an error."""
+    """The upstream ran the request and responded with an error."""
 
     unknown = 'unknown'
     """The request may have run."""
--- a/packages/ragworthollow/src/ragworthollow/outcomes/reason.py
+++ b/packages/ragworthollow/src/ragworthollow/outcomes/reason.py
@@ -4,7 +4,7 @@
 
 
 class Reason(enum.StrEnum):
-    """Describe why a request or an attempt has no complete answer."""
+    """Describe why a request or an attempt has no complete response."""
 
     bad_request = 'bad_request'
     body_too_large = 'body_too_large'
--- a/packages/ragworthollow/src/ragworthollow/outcomes/refusal.py
+++ b/packages/ragworthollow/src/ragworthollow/outcomes/refusal.py
@@ -1,4 +1,4 @@
-"""Define the error body that every process answers with."""
+"""Define the error body of every process."""
 
 from ragworthollow.outcomes.outcome import Outcome
 from ragworthollow.outcomes.reason import Reason
@@ -7,7 +7,7 @@
 
 class Refusal(Message):
     """
-    Describe why an attempt or a request has no complete answer.
+    Describe why an attempt or a request has no complete response.
 
     Attributes
     ----------
@@ -18,7 +18,7 @@
     step : str
         Stage or internal step at which the error occurred.
     peer : str
-        Instance that reported the error, or that did not answer.
+        Instance that reported the error, or that did not respond.
     detail : str
         One sentence for a human reader; never contains a caller's key.
     retry_after_ms : int or None
--- a/packages/ragworthollow/src/ragworthollow/pieces/announced_work.py
+++ b/packages/ragworthollow/src/ragworthollow/pieces/announced_work.py
@@ -12,9 +12,9 @@
     Count the future pieces of admitted requests by pool and priority.
 
     A request reaches its later stages hundreds of milliseconds after its
-    admission.  A gate that counts only its queue keeps admitting requests for
-    that long after its instances are saturated: these spend work on their
-    first stages and then all miss their objectives.
+    admission.  A scheduler that counts only its queue keeps admitting requests
+    for that long after its instances are saturated: these spend work on their
+    first stages and then all miss their latency objectives.
     """
 
     def __init__(self) -> None:
@@ -53,27 +53,27 @@
 
     def __init__(self) -> None:
         self._counts: dict[str, CountsByPool] = {}
-        self._noted_ms: dict[str, float] = {}
+        self._received_ms: dict[str, float] = {}
 
     def note(self, source: str, counts: CountsByPool, now_ms: float) -> None:
         """Replace the announcements of one gateway."""
         self._counts[source] = counts
-        self._noted_ms[source] = now_ms
+        self._received_ms[source] = now_ms
 
     def sum_counts(self, pool: str, now_ms: float) -> list[int]:
         """Return the announced pieces of a pool by priority."""
-        self._drop_old(now_ms)
+        self._remove_expired(now_ms)
         total = _make_counts()
         for counts in self._counts.values():
             for priority, pieces in enumerate(counts.get(pool, ())):
                 total[min(priority, len(total) - 1)] += pieces
         return total
 
-    def _drop_old(self, now_ms: float) -> None:
+    def _remove_expired(self, now_ms: float) -> None:
         oldest_ms = now_ms - global_settings.ANNOUNCEMENT_MS
-        for source, noted_ms in tuple(self._noted_ms.items()):
-            if noted_ms < oldest_ms:
-                self._noted_ms.pop(source)
+        for source, received_ms in tuple(self._received_ms.items()):
+            if received_ms < oldest_ms:
+                self._received_ms.pop(source)
                 self._counts.pop(source)
 
 
--- a/packages/ragworthollow/src/ragworthollow/pieces/call_limit.py
+++ b/packages/ragworthollow/src/ragworthollow/pieces/batch_limit.py
@@ -8,7 +8,7 @@
 from ragworthollow.upstreams import UpstreamInstance
 
 
-class CallLimit(enum.StrEnum):
+class BatchLimit(enum.StrEnum):
     """
     Reason why a call carries no more pieces.
 
@@ -34,13 +34,13 @@
     queue = 'queue'
 
 
-def find_limit(
+def find_batch_limit(
     profile: PieceProfile,
     instance: UpstreamInstance,
     taken: Sequence[WaitingPiece],
-    wanted: Sequence[WaitingPiece],
+    candidates: Sequence[WaitingPiece],
     queue: Sequence[WaitingPiece],
-) -> CallLimit:
+) -> BatchLimit:
     """
     Return the reason why a call carries no more than the taken pieces.
 
@@ -52,16 +52,16 @@
         Instance that the call goes to.
     taken : sequence of WaitingPiece
         Pieces of the call.
-    wanted : sequence of WaitingPiece
+    candidates : sequence of WaitingPiece
         Pieces that the instance may process.
     queue : sequence of WaitingPiece
         All queued pieces.
     """
-    avoiding = sum(instance.instance in waiting.avoid for waiting in wanted)
+    avoiding = sum(instance.instance in waiting.avoid for waiting in candidates)
     if len(taken) == profile.batch_limit:
-        return CallLimit.full
-    if len(wanted) - avoiding > len(taken):
-        return CallLimit.space
-    if len(queue) > len(wanted):
-        return CallLimit.held
-    return CallLimit.avoided if avoiding else CallLimit.queue
+        return BatchLimit.full
+    if len(candidates) - avoiding > len(taken):
+        return BatchLimit.space
+    if len(queue) > len(candidates):
+        return BatchLimit.held
+    return BatchLimit.avoided if avoiding else BatchLimit.queue
--- a/packages/ragworthollow/src/ragworthollow/pieces/call.py
+++ b/packages/ragworthollow/src/ragworthollow/pieces/call.py
@@ -2,7 +2,7 @@
 
 from dataclasses import dataclass, field
 
-from ragworthollow.pieces.call_limit import CallLimit
+from ragworthollow.pieces.batch_limit import BatchLimit
 from ragworthollow.pieces.waiting_piece import WaitingPiece
 from ragworthollow.upstreams import UpstreamInstance
 
@@ -22,14 +22,14 @@
         Time at which the call was sent, on the monotonic clock.
     expected_ms : float
         Expected duration of the call.
-    limit : CallLimit
+    limit : BatchLimit
         Reason why the call carries no more pieces.
     left : int
         Number of pieces that remained in the queue.
     free_bytes : float
         Free space for results at the instance, as accounted for here.
     passed_on : set of WaitingPiece
-        Pieces that were queued again for another call because this one is
+        Pieces that were also queued for another call because this call is
         slow.
     """
 
@@ -37,7 +37,7 @@
     waiting: tuple[WaitingPiece, ...]
     started_ms: float
     expected_ms: float
-    limit: CallLimit = CallLimit.queue
+    limit: BatchLimit = BatchLimit.queue
     left: int = 0
     free_bytes: float = 0
     passed_on: set[WaitingPiece] = field(default_factory=set)
@@ -46,7 +46,7 @@
 @dataclass(frozen=True, kw_only=True, slots=True)
 class ForeignCall:
     """
-    Describe a call sent by another gate of the pool.
+    Describe a call sent by another scheduler of the pool.
 
     Attributes
     ----------
@@ -55,8 +55,8 @@
     result_bytes : int
         Space that the results of the call will take.
     until_ms : float
-        Time until which the call counts unless that gate reports it again,
-        on the monotonic clock.
+        Time until which the call counts unless that scheduler reports it
+        again, on the monotonic clock.
     """
 
     instance: str
--- a/packages/ragworthollow/src/ragworthollow/pieces/gate.py
+++ b/packages/ragworthollow/src/ragworthollow/pieces/gate.py
@@ -4,20 +4,20 @@
 from collections.abc import Sequence
 
 from ragworthollow.conf import global_settings
+from ragworthollow.pieces.batch_limit import find_batch_limit
 from ragworthollow.pieces.call import PieceCall
-from ragworthollow.pieces.call_limit import find_limit
-from ragworthollow.pieces.drain_rate import DrainRate
 from ragworthollow.pieces.order import (
-    is_held,
-    is_hopeless,
+    can_wait_for_domain,
+    choose_idle_instance,
+    get_piece_key,
+    get_queue_key,
     is_late,
-    is_patient,
-    prefer_domain,
-    rank,
-    rank_piece,
+    should_give_up,
+    should_wait_for_domain,
 )
 from ragworthollow.pieces.piece import Piece, PieceOutcome, PieceResult
-from ragworthollow.pieces.result_room import ResultRoom
+from ragworthollow.pieces.queue_throughput import QueueThroughput
+from ragworthollow.pieces.result_space import ResultSpace
 from ragworthollow.pieces.running_calls import RunningCalls
 from ragworthollow.pieces.selection import select_pieces
 from ragworthollow.pieces.waiting_piece import WaitingPiece
@@ -33,15 +33,16 @@
 
     Every call has a fixed cost, whether it carries one piece or a full batch,
     so pieces of different requests share calls.  Pieces are ordered by the
-    latest start that still meets their objective.  Those that have missed it
-    come last, since one answer in time is worth several late ones.
+    latest start that still meets their latency objective.  Pieces that have
+    missed it come last, since one response in time is worth several late
+    responses.
     """
 
     def __init__(self) -> None:
-        self.room = ResultRoom()
+        self.room = ResultSpace()
         self._queue: list[WaitingPiece] = []
         self.running = RunningCalls()
-        self._rate = DrainRate()
+        self._throughput = QueueThroughput()
 
     def submit(self, waiting: WaitingPiece) -> None:
         """Queue a piece."""
@@ -86,13 +87,13 @@
         self.running.own.remove(call)
 
     def drop_asker(self, asker: str) -> None:
-        """Mark the queued pieces of a gateway that is gone as unwanted."""
+        """Cancel the queued pieces of a gateway that has terminated."""
         for waiting in self._queue:
             if waiting.piece.asker == asker:
                 waiting.is_wanted = False
 
     def release_queue(self) -> None:
-        """Return queued pieces to the requesting gateways, for another gate."""
+        """Return queued pieces to their requesters for another scheduler."""
         for waiting in self._queue:
             waiting.settle(PieceResult(outcome=PieceOutcome.moved))
         self._queue = []
@@ -103,13 +104,13 @@
             waiting.settle(PieceResult(outcome=PieceOutcome.drained))
         self._queue = []
 
-    def drop_unwanted(self, now_ms: float) -> None:
-        """Remove pieces that are unwanted or given up."""
+    def drop_unawaited(self, now_ms: float) -> None:
+        """Remove pieces that are no longer awaited or are given up."""
         remaining = []
         for waiting in self._queue:
             if not waiting.is_wanted:
                 continue
-            if is_hopeless(waiting, now_ms):
+            if should_give_up(waiting, now_ms):
                 waiting.settle(PieceResult(outcome=PieceOutcome.not_run))
                 continue
             remaining.append(waiting)
@@ -136,12 +137,12 @@
         now_ms : float
             Current time on the monotonic clock.
         """
-        own_rank = rank_piece(piece, now_ms)
-        ahead = sum(
-            rank_piece(waiting.piece, now_ms) <= own_rank
+        own_key = get_piece_key(piece, now_ms)
+        pieces_ahead = sum(
+            get_piece_key(waiting.piece, now_ms) <= own_key
             for waiting in self._queue
         )
-        return self._estimate_ms(profile, instances, ahead, now_ms)
+        return self._estimate_ms(profile, instances, pieces_ahead, now_ms)
 
     def estimate_waits_ms(
         self,
@@ -151,7 +152,7 @@
         now_ms: float,
     ) -> list[float]:
         """
-        Estimate the waits of requests due later than all queued ones.
+        Estimate the waits of requests due later than all queued pieces.
 
         Parameters
         ----------
@@ -176,27 +177,27 @@
             if not is_late(waiting.piece, now_ms):
                 counts[min(waiting.piece.priority, len(counts) - 1)] += 1
         return [
-            self._estimate_ms(profile, instances, ahead, now_ms)
-            for ahead in itertools.accumulate(counts)
+            self._estimate_ms(profile, instances, pieces_ahead, now_ms)
+            for pieces_ahead in itertools.accumulate(counts)
         ]
 
     def _estimate_ms(
         self,
         profile: PieceProfile,
         instances: int,
-        ahead: int,
+        pieces_ahead: int,
         now_ms: float,
     ) -> float:
         nominal_ms = estimate_wait_ms(
-            profile, instances, self.running.own, ahead, now_ms
+            profile, instances, self.running.own, pieces_ahead, now_ms
         )
-        return max(nominal_ms, self._rate.estimate_ms(ahead))
+        return max(nominal_ms, self._throughput.estimate_ms(pieces_ahead))
 
     def plan(
         self,
         profile: PieceProfile,
         instances: Sequence[UpstreamInstance],
-        book: LoadBook,
+        load_tracker: LoadBook,
         now_ms: float,
     ) -> list[PieceCall]:
         """
@@ -208,7 +209,7 @@
             Profile of the pool.
         instances : sequence of UpstreamInstance
             Instances that may receive work.
-        book : LoadBook
+        load_tracker : LoadBook
             Load and health of the instances.
         now_ms : float
             Current time on the monotonic clock.
@@ -218,72 +219,76 @@
         list of PieceCall
             New calls; each counts as running until it is passed to `finish`.
         """
-        self.drop_unwanted(now_ms)
+        self.drop_unawaited(now_ms)
         if not self._queue:
-            self._rate.note(started=0, is_backlogged=False, now_ms=now_ms)
+            self._throughput.record(
+                started=0, is_backlogged=False, now_ms=now_ms
+            )
             return []
-        idle = self._find_idle(profile, instances, book, now_ms)
+        idle = self._find_idle(profile, instances, load_tracker, now_ms)
         used = self.room.get_used(now_ms)
-        for foreign in self.running.get_foreign(now_ms):
-            taken_bytes = used.get(foreign.instance, 0) + foreign.result_bytes
-            used[foreign.instance] = taken_bytes
+        for remote in self.running.get_remote_calls(now_ms):
+            taken_bytes = used.get(remote.instance, 0) + remote.result_bytes
+            used[remote.instance] = taken_bytes
         waits_ms = estimate_domain_waits(
             profile, instances, self.running.own, self._queue, now_ms
         )
-        self._queue.sort(key=lambda waiting: rank(waiting, now_ms))
+        self._queue.sort(key=lambda waiting: get_queue_key(waiting, now_ms))
         calls = []
         while idle and self._queue:
-            instance = prefer_domain(idle, self._queue[0])
+            instance = choose_idle_instance(idle, self._queue[0])
             idle.remove(instance)
-            wanted = self._choose_wanted(instance, waits_ms, now_ms)
-            call = self._fill(profile, instance, wanted, used, now_ms)
+            candidates = self._list_candidates(instance, waits_ms, now_ms)
+            call = self._create_call(
+                profile, instance, candidates, used, now_ms
+            )
             if call is not None:
                 calls.append(call)
-        self._rate.note(
+        self._throughput.record(
             started=sum(len(call.waiting) for call in calls),
             is_backlogged=bool(self._queue),
             now_ms=now_ms,
         )
         return calls
 
-    def _choose_wanted(
+    def _list_candidates(
         self,
         instance: UpstreamInstance,
         waits_ms: dict[str, float],
         now_ms: float,
     ) -> list[WaitingPiece]:
         """
-        Return the pieces that an instance may take, in order of preference.
+        Return the pieces that an instance may process, most preferred first.
 
         Pieces of unstarted stages that can still be in time in a different,
         preferred failure domain come last.  With a long queue, each instance
         then fills its calls with pieces that prefer its own domain, which
         moves a tenth fewer bytes between domains.
         """
-        wanted = [
+        candidates = [
             waiting
             for waiting in self._queue
-            if not is_held(waiting, instance, waits_ms, now_ms)
+            if not should_wait_for_domain(waiting, instance, waits_ms, now_ms)
         ]
         deferred = [
             waiting
-            for waiting in wanted
-            if not waiting.stage_run.is_begun
-            and is_patient(waiting, instance, waits_ms, now_ms)
+            for waiting in candidates
+            if not waiting.stage_run.is_started
+            and can_wait_for_domain(waiting, instance, waits_ms, now_ms)
         ]
         deferred_ids = {id(waiting) for waiting in deferred}
         return [
-            waiting for waiting in wanted if id(waiting) not in deferred_ids
+            waiting for waiting in candidates if id(waiting) not in deferred_ids
         ] + deferred
 
     def _find_idle(
         self,
         profile: PieceProfile,
         instances: Sequence[UpstreamInstance],
-        book: LoadBook,
+        load_tracker: LoadBook,
         now_ms: float,
     ) -> list[UpstreamInstance]:
-        busy = self.running.get_occupied(now_ms)
+        busy = self.running.get_busy_instances(now_ms)
         idle = [
             instance
             for instance in instances
@@ -292,36 +297,42 @@
         trusted = [
             instance
             for instance in idle
-            if book.get(instance.instance).suspect_until_ms <= now_ms
+            if load_tracker.get(instance.instance).suspect_until_ms <= now_ms
         ]
-        # If every instance is suspect, a call that may fail is better than
-        # none.
+        # If every instance is suspect, a call that may fail is better than no
+        # call.
         all_suspect = all(
-            book.get(instance.instance).suspect_until_ms > now_ms
+            load_tracker.get(instance.instance).suspect_until_ms > now_ms
             for instance in instances
         )
         return idle if all_suspect else trusted
 
-    def _fill(
+    def _create_call(
         self,
         profile: PieceProfile,
         instance: UpstreamInstance,
-        wanted: Sequence[WaitingPiece],
+        candidates: Sequence[WaitingPiece],
         used: dict[str, int],
         now_ms: float,
     ) -> PieceCall | None:
-        room_bytes = profile.room_bytes / global_settings.ROOM_MARGIN
-        free_bytes = room_bytes - used.get(instance.instance, 0)
+        space_bytes = profile.room_bytes / global_settings.ROOM_MARGIN
+        free_bytes = space_bytes - used.get(instance.instance, 0)
         taken = select_pieces(
-            [waiting for waiting in wanted if _may_make(instance, waiting)],
+            [
+                waiting
+                for waiting in candidates
+                if _may_process(instance, waiting)
+            ],
             profile,
             free_bytes,
         )
         if not taken:
             return None
         for selected in taken:
-            selected.stage_run.is_begun = True
-        limit = find_limit(profile, instance, taken, wanted, self._queue)
+            selected.stage_run.is_started = True
+        limit = find_batch_limit(
+            profile, instance, taken, candidates, self._queue
+        )
         taken_ids = {id(waiting) for waiting in taken}
         self._queue = [
             waiting for waiting in self._queue if id(waiting) not in taken_ids
@@ -339,7 +350,7 @@
         return call
 
 
-def _may_make(instance: UpstreamInstance, waiting: WaitingPiece) -> bool:
+def _may_process(instance: UpstreamInstance, waiting: WaitingPiece) -> bool:
     """Return whether an instance may process a piece and has not failed it."""
     if not may_run_in(instance.region, waiting.piece.homes):
         return False
--- a/packages/ragworthollow/src/ragworthollow/pieces/order.py
+++ b/packages/ragworthollow/src/ragworthollow/pieces/order.py
@@ -8,7 +8,7 @@
 from ragworthollow.upstreams import UpstreamInstance
 
 
-def is_hopeless(waiting: WaitingPiece, now_ms: float) -> bool:
+def should_give_up(waiting: WaitingPiece, now_ms: float) -> bool:
     """
     Return whether a queued piece is given up.
 
@@ -20,12 +20,14 @@
     piece = waiting.piece
     if piece.expires_ms <= now_ms:
         return True
-    if piece.inputs or waiting.stage_run.is_begun:
+    if piece.inputs or waiting.stage_run.is_started:
         return False
     return piece.give_up_ms < now_ms
 
 
-def rank(waiting: WaitingPiece, now_ms: float) -> tuple[bool, bool, float]:
+def get_queue_key(
+    waiting: WaitingPiece, now_ms: float
+) -> tuple[bool, bool, float]:
     """
     Return the sort key of a queued piece; the smallest is taken first.
 
@@ -34,17 +36,17 @@
     is held by incomplete stages stalls the pool while its instances are idle.
     """
     return (
-        not waiting.stage_run.is_begun,
-        *rank_piece(waiting.piece, now_ms),
+        not waiting.stage_run.is_started,
+        *get_piece_key(waiting.piece, now_ms),
     )
 
 
-def rank_piece(piece: Piece, now_ms: float) -> tuple[bool, float]:
+def get_piece_key(piece: Piece, now_ms: float) -> tuple[bool, float]:
     """Return the sort key of a piece whose stage has not started."""
-    return (is_late(piece, now_ms), get_rank_ms(piece))
+    return (is_late(piece, now_ms), get_weighted_due_ms(piece))
 
 
-def get_rank_ms(piece: Piece) -> float:
+def get_weighted_due_ms(piece: Piece) -> float:
     """Return the latest start, shifted later for less urgent pieces."""
     return piece.due_ms + piece.priority * global_settings.PRIORITY_STEP_MS
 
@@ -54,7 +56,7 @@
     return piece.due_ms + global_settings.PIECE_LATE_GRACE_MS < now_ms
 
 
-def is_held(
+def should_wait_for_domain(
     waiting: WaitingPiece,
     instance: UpstreamInstance,
     waits_ms: dict[str, float],
@@ -64,8 +66,8 @@
     Return whether a piece waits for an instance in its preferred domain.
 
     Reading a result in another failure domain costs traffic between domains.
-    A piece waits for an instance in its preferred domain if one is expected
-    to be free within a share of the piece's slack.
+    A piece waits for an instance in its preferred domain that is expected to
+    be free within a share of the piece's slack.
     """
     domain = waiting.piece.failure_domain
     wait_ms = waits_ms.get(domain)
@@ -75,7 +77,7 @@
     return wait_ms < slack_ms * global_settings.NEAR_WAIT_SHARE
 
 
-def is_patient(
+def can_wait_for_domain(
     waiting: WaitingPiece,
     instance: UpstreamInstance,
     waits_ms: dict[str, float],
@@ -94,7 +96,7 @@
     return now_ms + wait_ms < waiting.piece.due_ms
 
 
-def prefer_domain(
+def choose_idle_instance(
     idle: Sequence[UpstreamInstance],
     first: WaitingPiece,
 ) -> UpstreamInstance:
--- a/packages/ragworthollow/src/ragworthollow/pieces/drain_rate.py
+++ b/packages/ragworthollow/src/ragworthollow/pieces/queue_throughput.py
@@ -1,11 +1,11 @@
-"""Measure the rate at which a gate's queue drains."""
+"""Measure the rate at which a scheduler's queue drains."""
 
 import math
 
 from ragworthollow.conf import global_settings
 
 
-class DrainRate:
+class QueueThroughput:
     """
     Measure the rate at which pieces leave a backlogged queue.
 
@@ -22,9 +22,11 @@
         self._was_backlogged = False
         self._noted_ms: float | None = None
 
-    def note(self, *, started: int, is_backlogged: bool, now_ms: float) -> None:
+    def record(
+        self, *, started: int, is_backlogged: bool, now_ms: float
+    ) -> None:
         """
-        Record one scheduling cycle of the gate.
+        Record one scheduling cycle.
 
         Parameters
         ----------
@@ -45,8 +47,8 @@
             self._backlog_ms += elapsed_ms
         self._was_backlogged = is_backlogged
 
-    def estimate_ms(self, ahead: int) -> float:
+    def estimate_ms(self, pieces_ahead: int) -> float:
         """Return the time for a number of pieces; 0 while it is unknown."""
         if self._backlog_ms < global_settings.DRAIN_RATE_LEAST_MS:
             return 0
-        return ahead * self._backlog_ms / max(1, self._pieces)
+        return pieces_ahead * self._backlog_ms / max(1, self._pieces)
--- /dev/null
+++ b/packages/ragworthollow/src/ragworthollow/pieces/result_space.py
@@ -0,0 +1,126 @@
+"""Account for the space that results occupy at instances."""
+
+from dataclasses import dataclass, field
+
+from ragworthollow.conf import global_settings
+
+
+@dataclass(frozen=True, kw_only=True, slots=True)
+class KeptResult:
+    """
+    Describe a result that occupies space at an instance.
+
+    Attributes
+    ----------
+    handle : str
+        Handle by which upstreams know the result.
+    instance : str
+        Instance that produced and stores the result.
+    result_bytes : int
+        Approximate size.
+    until_ms : float
+        Time at which the instance drops the result, on the monotonic clock.
+    asker : str
+        Incarnation of the gateway whose request holds the result.
+    """
+
+    handle: str
+    instance: str
+    result_bytes: int
+    until_ms: float
+    asker: str = ''
+
+
+@dataclass(kw_only=True, slots=True)
+class ResultSpace:
+    """
+    Track the space that the results of one pool occupy at each instance.
+
+    An instance without enough space refuses pieces only after it has
+    processed the rest of the call, so a scheduler that overfills it wastes
+    work.
+    """
+
+    _results_by_handle: dict[str, KeptResult] = field(default_factory=dict)
+    _untracked_by_instance: dict[str, KeptResult] = field(default_factory=dict)
+    _released_until_ms: dict[str, float] = field(default_factory=dict)
+
+    def note_unknown(
+        self,
+        instance: str,
+        result_bytes: int,
+        until_ms: float,
+    ) -> None:
+        """
+        Record the space that untracked results occupy at an instance.
+
+        They were requested by a gateway that has terminated, and the instance
+        drops them after a while.  Its remaining space is used in the meantime.
+        """
+        self._untracked_by_instance[instance] = KeptResult(
+            handle='',
+            instance=instance,
+            result_bytes=result_bytes,
+            until_ms=until_ms,
+        )
+
+    def keep(self, stored: KeptResult) -> None:
+        """
+        Record a result that occupies space until it is released or expires.
+
+        A result that was released before the scheduler of its call reported it
+        is ignored: otherwise free space would count as occupied for seconds.
+        """
+        if self._released_until_ms.pop(stored.handle, None) is None:
+            self._results_by_handle[stored.handle] = stored
+
+    def free(self, handle: str, now_ms: float) -> str:
+        """Remove a result; return its producer, empty if it is untracked."""
+        stored = self._results_by_handle.pop(handle, None)
+        if stored is not None:
+            return stored.instance
+        for released, until_ms in tuple(self._released_until_ms.items()):
+            if until_ms <= now_ms:
+                self._released_until_ms.pop(released)
+        self._released_until_ms[handle] = (
+            now_ms + global_settings.FREED_MEMORY_MS
+        )
+        return ''
+
+    def find_handles(self, asker: str) -> tuple[str, ...]:
+        """Return the handles of the results held for one gateway's requests."""
+        return tuple(
+            stored.handle
+            for stored in self._results_by_handle.values()
+            if stored.asker == asker
+        )
+
+    def forget_instance(self, instance: str) -> None:
+        """Remove all results of an instance that no longer stores any."""
+        self._untracked_by_instance.pop(instance, None)
+        for handle, stored in tuple(self._results_by_handle.items()):
+            if stored.instance == instance:
+                self._results_by_handle.pop(handle)
+
+    def take_all(self) -> tuple[KeptResult, ...]:
+        """Remove and return all results, for another scheduler of the pool."""
+        results = tuple(self._results_by_handle.values())
+        self._results_by_handle.clear()
+        return results
+
+    def get_used(self, now_ms: float) -> dict[str, int]:
+        """Remove expired results; return the bytes in use by instance."""
+        used: dict[str, int] = {}
+        for handle, stored in tuple(self._results_by_handle.items()):
+            if stored.until_ms <= now_ms:
+                self._results_by_handle.pop(handle)
+                continue
+            used[stored.instance] = (
+                used.get(stored.instance, 0) + stored.result_bytes
+            )
+        for instance, untracked in tuple(self._untracked_by_instance.items()):
+            if untracked.until_ms <= now_ms:
+                self._untracked_by_instance.pop(instance)
+                continue
+            used[instance] = used.get(instance, 0) + untracked.result_bytes
+        return used
--- a/packages/ragworthollow/src/ragworthollow/pieces/selection.py
+++ b/packages/ragworthollow/src/ragworthollow/pieces/selection.py
@@ -8,7 +8,7 @@
 
 
 def select_pieces(
-    wanted: Sequence[WaitingPiece],
+    candidates: Sequence[WaitingPiece],
     profile: PieceProfile,
     free_bytes: float,
 ) -> list[WaitingPiece]:
@@ -23,7 +23,7 @@
 
     Parameters
     ----------
-    wanted : sequence of WaitingPiece
+    candidates : sequence of WaitingPiece
         Candidate pieces, in order of preference.
     profile : PieceProfile
         Profile of the pool.
@@ -36,26 +36,28 @@
         Pieces of the call, in order.
     """
     taken: list[WaitingPiece] = []
-    for group in _group(wanted):
+    for group in _group_by_stage(candidates):
         slots = profile.batch_limit - len(taken)
-        fitting = _fit(group, slots, free_bytes)
+        fitting = _select_fitting(group, slots, free_bytes)
         is_split = len(fitting) < len(group)
-        if taken and is_split and _must_stay_whole(group, profile):
+        if taken and is_split and _must_not_split(group, profile):
             continue
         taken += fitting
         free_bytes -= sum(waiting.piece.result_bytes for waiting in fitting)
     return taken
 
 
-def _group(wanted: Iterable[WaitingPiece]) -> list[list[WaitingPiece]]:
+def _group_by_stage(
+    candidates: Iterable[WaitingPiece],
+) -> list[list[WaitingPiece]]:
     """Group pieces by stage, in the order of each stage's first piece."""
     groups: dict[int, list[WaitingPiece]] = {}
-    for waiting in wanted:
+    for waiting in candidates:
         groups.setdefault(id(waiting.stage_run), []).append(waiting)
     return list(groups.values())
 
 
-def _fit(
+def _select_fitting(
     group: Sequence[WaitingPiece],
     slots: int,
     free_bytes: float,
@@ -69,12 +71,12 @@
     return fitting
 
 
-def _must_stay_whole(
+def _must_not_split(
     group: Sequence[WaitingPiece],
     profile: PieceProfile,
 ) -> bool:
     first = group[0]
-    if first.stage_run.is_begun or len(group) > profile.batch_limit:
+    if first.stage_run.is_started or len(group) > profile.batch_limit:
         return False
     call_bytes = first.piece.result_bytes * profile.batch_limit
     return call_bytes * global_settings.WHOLE_STAGE_CALLS > profile.room_bytes
--- a/packages/ragworthollow/src/ragworthollow/pieces/stage_run.py
+++ b/packages/ragworthollow/src/ragworthollow/pieces/stage_run.py
@@ -1,4 +1,4 @@
-"""Define the state of one stage of one request at a gate."""
+"""Define the state of one stage of one request at a scheduler."""
 
 from dataclasses import dataclass
 
@@ -10,8 +10,8 @@
 
     Attributes
     ----------
-    is_begun : bool
+    is_started : bool
         Whether any piece has been sent to an instance.
     """
 
-    is_begun: bool = False
+    is_started: bool = False
--- a/packages/ragworthollow/src/ragworthollow/pieces/waiting_piece.py
+++ b/packages/ragworthollow/src/ragworthollow/pieces/waiting_piece.py
@@ -1,4 +1,4 @@
-"""Define a piece in the queue of a gate."""
+"""Define a piece in the queue of a scheduler."""
 
 from collections.abc import Callable
 from dataclasses import dataclass, field
@@ -27,7 +27,7 @@
     stage_run : StageRun
         State of the stage that the piece belongs to.
     is_wanted : bool
-        False once the requesting gateway has the result or is gone.
+        False once the requesting gateway has the result or has terminated.
     """
 
     piece: Piece
@@ -39,6 +39,6 @@
     is_wanted: bool = True
 
     def settle(self, piece_result: PieceResult) -> None:
-        """Deliver the result; the piece is not wanted any more."""
+        """Deliver the result; the piece is no longer awaited."""
         self.is_wanted = False
         self.on_result(piece_result)
--- a/packages/ragworthollow/src/ragworthollow/pieces/waits.py
+++ b/packages/ragworthollow/src/ragworthollow/pieces/waits.py
@@ -12,7 +12,7 @@
     profile: PieceProfile,
     instances: int,
     calls: Sequence[PieceCall],
-    ahead: int,
+    pieces_ahead: int,
     now_ms: float,
 ) -> float:
     """
@@ -26,8 +26,8 @@
         Number of instances that may receive work.
     calls : sequence of PieceCall
         Calls in progress.
-    ahead : int
-        Number of pieces that are ahead in the queue.
+    pieces_ahead : int
+        Number of pieces ahead in the queue.
     now_ms : float
         Time on the monotonic clock.
     """
@@ -39,7 +39,7 @@
     )
     if len(calls) < instances * profile.concurrency:
         busy_ms = 0
-    calls_ahead = ahead / profile.batch_limit
+    calls_ahead = pieces_ahead / profile.batch_limit
     return (busy_ms / 2 + calls_ahead * full_ms) / instances
 
 
--- a/packages/ragworthollow/src/ragworthollow/routes/route.py
+++ b/packages/ragworthollow/src/ragworthollow/routes/route.py
@@ -65,7 +65,7 @@
     path_prefix : str
         Prefix of the path, with a slash at both ends.
     kind : RouteKind
-        Whether requests may be repeated, and whether answers are streams.
+        Whether requests may be repeated, and whether responses are streams.
     shares : tuple of PoolShare
         Pools that serve the route, with their weights.
     stages : tuple of StageStep
@@ -107,10 +107,10 @@
         return self.kind is RouteKind.safe
 
     def is_stream(self) -> bool:
-        """Return whether answers are event streams."""
+        """Return whether responses are event streams."""
         return self.kind is RouteKind.stream
 
-    def get_final_steps(self) -> tuple[int, ...]:
+    def get_final_stages(self) -> tuple[int, ...]:
         """Return the positions of the stages that no other stage depends on."""
         followed = {
             position for stage in self.stages for position in stage.after
--- a/packages/ragworthollow/src/ragworthollow/upstreams/answer_time.py
+++ b/packages/ragworthollow/src/ragworthollow/upstreams/answer_time.py
@@ -1,4 +1,4 @@
-"""Estimate the time to the first event of a pool's answers."""
+"""Estimate the time to the first event of a pool's responses."""
 
 from dataclasses import dataclass
 
@@ -26,7 +26,7 @@
 
     def note(self, tokens: int, took_ms: float) -> None:
         """
-        Record one answer.
+        Record one response.
 
         Parameters
         ----------
@@ -51,6 +51,6 @@
         variance = self._tokens_squared / self._weight - mean_tokens**2
         covariance = self._tokens_took / self._weight - mean_tokens * mean_ms
         # Prompts of a single length determine no slope, and a longer prompt is
-        # never processed faster, so a negative slope is noise.
+        # never processed faster, so a slope below 0 is noise.
         slope = max(0, covariance / variance) if variance >= 1 else 0
         return max(0, mean_ms + slope * (tokens - mean_tokens))
--- a/packages/ragworthollow/src/ragworthollow/upstreams/choice.py
+++ b/packages/ragworthollow/src/ragworthollow/upstreams/choice.py
@@ -32,8 +32,8 @@
 
 def choose_upstream(
     instances: Sequence[UpstreamInstance],
-    book: LoadBook,
-    wish: UpstreamWish,
+    load_tracker: LoadBook,
+    criteria: UpstreamWish,
     now_ms: float,
     rng: random.Random,
 ) -> UpstreamInstance | None:
@@ -52,9 +52,9 @@
     ----------
     instances : sequence of UpstreamInstance
         Instances of one pool.
-    book : LoadBook
+    load_tracker : LoadBook
         Load and health of the instances.
-    wish : UpstreamWish
+    criteria : UpstreamWish
         Selection criteria of the attempt.
     now_ms : float
         Time on the monotonic clock.
@@ -69,21 +69,21 @@
     untried = [
         candidate
         for candidate in instances
-        if candidate.instance not in wish.avoid
+        if candidate.instance not in criteria.avoid
     ]
     trusted = [
         candidate
         for candidate in untried
-        if book.get(candidate.instance).suspect_until_ms <= now_ms
+        if load_tracker.get(candidate.instance).suspect_until_ms <= now_ms
     ]
     candidates = trusted or untried
     if not candidates:
         return None
     depths = {
-        candidate.instance: _get_depth(candidate, book, now_ms)
+        candidate.instance: _get_depth(candidate, load_tracker, now_ms)
         for candidate in candidates
     }
-    if not wish.affinity_key:
+    if not criteria.affinity_key:
         return min(
             candidates,
             key=lambda candidate: (depths[candidate.instance], rng.random()),
@@ -91,7 +91,9 @@
     limit = _get_limit(depths)
     ranked = sorted(
         candidates,
-        key=lambda candidate: get_rank(wish.affinity_key, candidate.instance),
+        key=lambda candidate: get_rank(
+            criteria.affinity_key, candidate.instance
+        ),
         reverse=True,
     )
     for candidate in ranked:
@@ -102,11 +104,11 @@
 
 def _get_depth(
     candidate: UpstreamInstance,
-    book: LoadBook,
+    load_tracker: LoadBook,
     now_ms: float,
 ) -> float:
     """Return the load as a fraction of the instance's slots."""
-    record = book.get(candidate.instance)
+    record = load_tracker.get(candidate.instance)
     others = record.get_others(now_ms) * global_settings.REPORTED_LOAD_TRUST
     return (record.in_flight + others) / max(1, candidate.slots)
 
--- a/packages/ragworthollow/src/ragworthollow/upstreams/directory.py
+++ b/packages/ragworthollow/src/ragworthollow/upstreams/directory.py
@@ -6,7 +6,7 @@
 
 from ragworthollow.conf import global_settings
 from ragworthollow.upstreams.domain_drains import DomainDrains
-from ragworthollow.upstreams.instance_notices import InstanceNotices
+from ragworthollow.upstreams.instance_signals import InstanceSignals
 from ragworthollow.upstreams.upstream_instance import UpstreamInstance
 from ragworthollow.utils import get_monotonic_ms
 
@@ -51,7 +51,7 @@
     instance whose entry disappears a second after the store has recovered has
     shut down, and would receive requests if it was kept for a full period.
 
-    What an instance states in an answer takes precedence over any list: during
+    What an instance states in a response takes precedence over any list: during
     an outage of the store, the last list is out of date.
 
     Instances in a drained failure domain receive no requests until the drain
@@ -71,15 +71,15 @@
         self._by_pool: dict[str, tuple[UpstreamInstance, ...]] = {}
         self._missing_since_ms: dict[str, float] = {}
         self._pools_drained: frozenset[str] = frozenset()
-        self._notices = InstanceNotices()
-        self._is_away = False
-        self._returned_ms = float('-inf')
+        self._signals = InstanceSignals()
+        self._is_store_unavailable = False
+        self._recovered_ms = float('-inf')
         self.drains = DomainDrains()
         self.updated_ms = float('-inf')
 
     def note_outage(self) -> None:
         """Record that the list could not be read."""
-        self._is_away = True
+        self._is_store_unavailable = True
 
     def replace(
         self,
@@ -105,30 +105,30 @@
             Instances that appeared, left or restarted.
         """
         self.drains.replace(drained, now_ms)
-        if self._is_away:
-            self._is_away = False
-            self._returned_ms = now_ms
+        if self._is_store_unavailable:
+            self._is_store_unavailable = False
+            self._recovered_ms = now_ms
         entries_by_id = {entry.instance: entry for entry in listed}
-        fresh = {
+        eligible = {
             name: entry
             for name, entry in entries_by_id.items()
-            if not entry.is_leaving and not self._has_said_leaving(entry)
+            if not entry.is_leaving and not self._has_announced_leaving(entry)
         }
         self._missing_since_ms = {
             name: self._missing_since_ms.get(name, now_ms)
             for name in self._by_id.keys() - entries_by_id.keys()
         }
         for name in self._missing_since_ms:
-            if self._is_excused(name, now_ms):
-                fresh[name] = self._by_id[name]
-        fresh = self._leave_drained_out(fresh)
+            if self._may_have_expired(name, now_ms):
+                eligible[name] = self._by_id[name]
+        eligible = self._exclude_drained(eligible)
         change = DirectoryChange(
-            appeared=tuple(fresh.keys() - self._by_id.keys()),
-            left=tuple(self._by_id.keys() - fresh.keys()),
-            restarted=self._find_restarted(fresh),
+            appeared=tuple(eligible.keys() - self._by_id.keys()),
+            left=tuple(self._by_id.keys() - eligible.keys()),
+            restarted=self._find_restarted(eligible),
         )
-        self._by_id = fresh
-        self._by_pool = _group(fresh.values())
+        self._by_id = eligible
+        self._by_pool = _group_by_pool(eligible.values())
         self.updated_ms = now_ms
         return change
 
@@ -152,27 +152,27 @@
         bool
             False if the shutdown was already known.
         """
-        is_new = self._notices.note_leaving(incarnation, since_ms)
+        is_new = self._signals.record_leaving(incarnation, since_ms)
         if is_new:
             self._by_id = {
                 name: entry
                 for name, entry in self._by_id.items()
-                if not self._has_said_leaving(entry)
+                if not self._has_announced_leaving(entry)
             }
-            self._by_pool = _group(self._by_id.values())
+            self._by_pool = _group_by_pool(self._by_id.values())
         return is_new
 
     def get_leaving(self) -> Mapping[str, float]:
         """Return when each instance announced its shutdown."""
-        return self._notices.get_leaving()
+        return self._signals.get_leaving()
 
     def note_pause(self, instance: UpstreamInstance, until_ms: float) -> None:
         """Pause an instance until a time on the monotonic clock."""
-        self._notices.note_pause(instance.get_incarnation(), until_ms)
+        self._signals.record_pause(instance.get_incarnation(), until_ms)
 
     def get_pause_left_ms(self, instance: UpstreamInstance) -> float:
         """Return the rest of an instance's pause; 0 if it is not paused."""
-        return self._notices.get_pause_left_ms(
+        return self._signals.get_remaining_pause_ms(
             instance.get_incarnation(),
             get_monotonic_ms(),
         )
@@ -185,7 +185,7 @@
     def get_pool(self, pool: str) -> tuple[UpstreamInstance, ...]:
         """Return the instances of a pool that may receive requests now."""
         members = self._by_pool.get(pool, ())
-        if not self._notices.has_pauses():
+        if not self._signals.has_pauses():
             return members
         return tuple(
             entry for entry in members if not self.get_pause_left_ms(entry)
@@ -206,47 +206,47 @@
                 return entry
         return None
 
-    def _has_said_leaving(self, entry: UpstreamInstance) -> bool:
-        return self._notices.is_leaving(entry.get_incarnation())
+    def _has_announced_leaving(self, entry: UpstreamInstance) -> bool:
+        return self._signals.is_leaving(entry.get_incarnation())
 
-    def _leave_drained_out(
+    def _exclude_drained(
         self,
-        fresh: Mapping[str, UpstreamInstance],
+        eligible: Mapping[str, UpstreamInstance],
     ) -> dict[str, UpstreamInstance]:
         """Return the instances outside drained failure domains."""
         serving = {
             name: entry
-            for name, entry in fresh.items()
+            for name, entry in eligible.items()
             if not self.drains.is_drained(entry.failure_domain)
         }
         self._pools_drained = frozenset(
-            fresh[name].pool for name in fresh.keys() - serving.keys()
+            eligible[name].pool for name in eligible.keys() - serving.keys()
         )
         return serving
 
     def _find_restarted(
         self,
-        fresh: dict[str, UpstreamInstance],
+        eligible: dict[str, UpstreamInstance],
     ) -> tuple[str, ...]:
         return tuple(
             name
-            for name, entry in fresh.items()
+            for name, entry in eligible.items()
             if name in self._by_id
             and not entry.is_same_incarnation(self._by_id[name])
         )
 
-    def _is_excused(self, name: str, now_ms: float) -> bool:
+    def _may_have_expired(self, name: str, now_ms: float) -> bool:
         """
         Return whether a missing entry may have expired during an outage.
 
         Repeated outages must not keep an entry indefinitely, so the period
         never starts later than the time at which the entry went missing.
         """
-        since_ms = min(self._returned_ms, self._missing_since_ms[name])
+        since_ms = min(self._recovered_ms, self._missing_since_ms[name])
         return now_ms - since_ms < global_settings.LAPSED_ENTRY_MS
 
 
-def _group(
+def _group_by_pool(
     instances: Iterable[UpstreamInstance],
 ) -> dict[str, tuple[UpstreamInstance, ...]]:
     grouped: dict[str, list[UpstreamInstance]] = {}
--- a/packages/ragworthollow/src/ragworthollow/upstreams/instance_notices.py
+++ b/packages/ragworthollow/src/ragworthollow/upstreams/instance_signals.py
@@ -1,11 +1,11 @@
-"""Track what instances state about themselves in their answers."""
+"""Track what instances state about themselves in their responses."""
 
 from collections.abc import Mapping
 
 from ragworthollow.conf import global_settings
 
 
-class InstanceNotices:
+class InstanceSignals:
     """
     Track instances that announced their shutdown or asked for a pause.
 
@@ -17,7 +17,7 @@
         self._leaving_since_ms: dict[str, float] = {}
         self._paused_until_ms: dict[str, float] = {}
 
-    def note_leaving(self, incarnation: str, since_ms: float) -> bool:
+    def record_leaving(self, incarnation: str, since_ms: float) -> bool:
         """Record a shutdown; return False if it was already known."""
         if incarnation in self._leaving_since_ms:
             return False
@@ -34,7 +34,7 @@
         """Return when each instance announced its shutdown."""
         return self._leaving_since_ms
 
-    def note_pause(self, incarnation: str, until_ms: float) -> None:
+    def record_pause(self, incarnation: str, until_ms: float) -> None:
         """Record that an instance wants no requests until a given time."""
         known_ms = self._paused_until_ms.get(incarnation, until_ms)
         self._paused_until_ms[incarnation] = max(known_ms, until_ms)
@@ -43,10 +43,10 @@
         """Return whether any instance may have asked for a pause."""
         return bool(self._paused_until_ms)
 
-    def get_pause_left_ms(self, incarnation: str, now_ms: float) -> float:
+    def get_remaining_pause_ms(self, incarnation: str, now_ms: float) -> float:
         """Return the rest of an instance's pause; 0 if it is not paused."""
-        left_ms = self._paused_until_ms.get(incarnation, now_ms) - now_ms
-        if left_ms > 0:
-            return left_ms
+        remaining_ms = self._paused_until_ms.get(incarnation, now_ms) - now_ms
+        if remaining_ms > 0:
+            return remaining_ms
         self._paused_until_ms.pop(incarnation, None)
         return 0
--- a/packages/ragworthollow/src/ragworthollow/upstreams/load_book.py
+++ b/packages/ragworthollow/src/ragworthollow/upstreams/load_book.py
@@ -19,7 +19,7 @@
         Latest load report of the instance.
     reported_ms : float
         Time at which the report arrived, on the monotonic clock.
-    own_at_report : int
+    in_flight_at_report : int
         Value of `in_flight` when the report arrived.
     suspect_until_ms : float
         Time until which the instance is used only as a last resort, on the
@@ -31,7 +31,7 @@
     in_flight: int = 0
     load: InstanceLoad | None = None
     reported_ms: float = field(default=float('-inf'))
-    own_at_report: int = 0
+    in_flight_at_report: int = 0
     suspect_until_ms: float = field(default=float('-inf'))
     failures: int = 0
 
@@ -41,7 +41,7 @@
         if self.load is None or age_ms > global_settings.LOAD_STALE_MS:
             return 0
         reported = self.load.running + self.load.waiting
-        return max(0, reported - self.own_at_report)
+        return max(0, reported - self.in_flight_at_report)
 
 
 class LoadBook:
@@ -79,11 +79,11 @@
         load: InstanceLoad,
         now_ms: float,
     ) -> None:
-        """Record a load report that came with an answer."""
+        """Record a load report that came with a response."""
         record = self.get(instance)
         record.load = load
         record.reported_ms = now_ms
-        record.own_at_report = record.in_flight
+        record.in_flight_at_report = record.in_flight
 
     def note_success(self, instance: str) -> None:
         """Reset the failure count and the suspicion of an instance."""
