--- a/packages/ragworthollow/src/ragworthollow/pieces/__init__.py
+++ b/packages/ragworthollow/src/ragworthollow/pieces/__init__.py
@@ -11,7 +11,7 @@
     PieceOutcome,
     PieceResult,
 )
-from ragworthollow.pieces.result_space import KeptResult, ResultSpace
+from ragworthollow.pieces.result_room import KeptResult, ResultSpace
 from ragworthollow.pieces.stage_run import StageRun
 from ragworthollow.pieces.waiting_piece import WaitingPiece
 
--- a/packages/ragworthollow/src/ragworthollow/pieces/gate.py
+++ b/packages/ragworthollow/src/ragworthollow/pieces/gate.py
@@ -4,8 +4,9 @@
 from collections.abc import Sequence
 
 from ragworthollow.conf import global_settings
-from ragworthollow.pieces.batch_limit import find_batch_limit
 from ragworthollow.pieces.call import PieceCall
+from ragworthollow.pieces.call_limit import find_batch_limit
+from ragworthollow.pieces.drain_rate import QueueThroughput
 from ragworthollow.pieces.order import (
     can_wait_for_domain,
     choose_idle_instance,
@@ -16,8 +17,7 @@
     should_wait_for_domain,
 )
 from ragworthollow.pieces.piece import Piece, PieceOutcome, PieceResult
-from ragworthollow.pieces.queue_throughput import QueueThroughput
-from ragworthollow.pieces.result_space import ResultSpace
+from ragworthollow.pieces.result_room import ResultSpace
 from ragworthollow.pieces.running_calls import RunningCalls
 from ragworthollow.pieces.selection import select_pieces
 from ragworthollow.pieces.waiting_piece import WaitingPiece
