--- a/packages/ragworthollow/src/ragworthollow/exchange/answer_marks.py
+++ b/packages/ragworthollow/src/ragworthollow/exchange/answer_marks.py
@@ -32,7 +32,7 @@
         Remaining warm-up time of the upstream; 0 if it does not report one.
     limit_per_s : float or None
         Requests per second that the upstream accepts from all gateways
-        together; None if it states no limit.
+        together; None if it advertises no limit.
     unreadable_limit : str
         Text of the limit header if it cannot be parsed; empty otherwise.
     """
--- a/packages/ragworthollow/src/ragworthollow/outcomes/outcome.py
+++ b/packages/ragworthollow/src/ragworthollow/outcomes/outcome.py
@@ -10,7 +10,7 @@
     """The complete response was received."""
 
     not_run = 'not_run'
-    """No upstream ran the request, and whoever reports this can prove it."""
+    """No upstream ran the request, and the reporting process can prove it."""
 
     failed = 'failed'
     """The upstream ran the request and responded with an error."""
--- a/packages/ragworthollow/src/ragworthollow/pieces/call_limit.py
+++ b/packages/ragworthollow/src/ragworthollow/pieces/call_limit.py
@@ -10,7 +10,7 @@
 
 class BatchLimit(enum.StrEnum):
     """
-    Reason why a call carries no more pieces.
+    Name the reason why a call carries no more pieces.
 
     Attributes
     ----------
--- a/packages/ragworthollow/src/ragworthollow/pieces/drain_rate.py
+++ b/packages/ragworthollow/src/ragworthollow/pieces/drain_rate.py
@@ -20,10 +20,14 @@
         self._pieces: float = 0
         self._backlog_ms: float = 0
         self._was_backlogged = False
-        self._noted_ms: float | None = None
+        self._recorded_ms: float | None = None
 
     def record(
-        self, *, started: int, is_backlogged: bool, now_ms: float
+        self,
+        *,
+        started: int,
+        is_backlogged: bool,
+        now_ms: float,
     ) -> None:
         """
         Record one scheduling cycle.
@@ -37,9 +41,11 @@
         now_ms : float
             Current time on the monotonic clock.
         """
-        elapsed_ms = 0 if self._noted_ms is None else now_ms - self._noted_ms
+        elapsed_ms = (
+            0 if self._recorded_ms is None else now_ms - self._recorded_ms
+        )
         decay = math.exp(-elapsed_ms / global_settings.DRAIN_RATE_MEMORY_MS)
-        self._noted_ms = now_ms
+        self._recorded_ms = now_ms
         self._pieces *= decay
         self._backlog_ms *= decay
         if self._was_backlogged:
--- a/packages/ragworthollow/src/ragworthollow/pieces/order.py
+++ b/packages/ragworthollow/src/ragworthollow/pieces/order.py
@@ -26,7 +26,8 @@
 
 
 def get_queue_key(
-    waiting: WaitingPiece, now_ms: float
+    waiting: WaitingPiece,
+    now_ms: float,
 ) -> tuple[bool, bool, float]:
     """
     Return the sort key of a queued piece; the smallest is taken first.
@@ -102,8 +103,8 @@
 ) -> UpstreamInstance:
     """Return an idle instance, in the preferred domain if possible."""
     for candidate in idle:
-        is_near = candidate.failure_domain == first.piece.failure_domain
-        if is_near and candidate.instance not in first.avoid:
+        is_local = candidate.failure_domain == first.piece.failure_domain
+        if is_local and candidate.instance not in first.avoid:
             return candidate
     for candidate in idle:
         if candidate.instance not in first.avoid:
--- a/packages/ragworthollow/src/ragworthollow/pieces/piece.py
+++ b/packages/ragworthollow/src/ragworthollow/pieces/piece.py
@@ -9,7 +9,7 @@
 @dataclass(frozen=True, kw_only=True, slots=True)
 class Piece:
     """
-    Describe one piece of one stage of one request.
+    Describe one piece (work item) of a stage of a request.
 
     Attributes
     ----------
--- a/packages/ragworthollow/src/ragworthollow/pieces/result_room.py
+++ b/packages/ragworthollow/src/ragworthollow/pieces/result_room.py
@@ -43,7 +43,7 @@
 
     _results_by_handle: dict[str, KeptResult] = field(default_factory=dict)
     _untracked_by_instance: dict[str, KeptResult] = field(default_factory=dict)
-    _released_until_ms: dict[str, float] = field(default_factory=dict)
+    _released_expires_ms: dict[str, float] = field(default_factory=dict)
 
     def note_unknown(
         self,
@@ -71,7 +71,7 @@
         A result that was released before the scheduler of its call reported it
         is ignored: otherwise free space would count as occupied for seconds.
         """
-        if self._released_until_ms.pop(stored.handle, None) is None:
+        if self._released_expires_ms.pop(stored.handle, None) is None:
             self._results_by_handle[stored.handle] = stored
 
     def free(self, handle: str, now_ms: float) -> str:
@@ -79,10 +79,10 @@
         stored = self._results_by_handle.pop(handle, None)
         if stored is not None:
             return stored.instance
-        for released, until_ms in tuple(self._released_until_ms.items()):
-            if until_ms <= now_ms:
-                self._released_until_ms.pop(released)
-        self._released_until_ms[handle] = (
+        for released, expires_ms in tuple(self._released_expires_ms.items()):
+            if expires_ms <= now_ms:
+                self._released_expires_ms.pop(released)
+        self._released_expires_ms[handle] = (
             now_ms + global_settings.FREED_MEMORY_MS
         )
         return ''
--- a/packages/ragworthollow/src/ragworthollow/pieces/running_calls.py
+++ b/packages/ragworthollow/src/ragworthollow/pieces/running_calls.py
@@ -11,9 +11,9 @@
     """
     Hold the calls of a pool that are in progress.
 
-    When a scheduler moves to another host, the calls of the previous scheduler
-    keep running at their instances, and their host reports them to the new
-    scheduler.
+    When a scheduler moves to another host (the gateway that runs it), the
+    calls of the previous scheduler keep running at their instances, and the
+    previous host reports them to the new scheduler.
 
     Attributes
     ----------
--- a/packages/ragworthollow/src/ragworthollow/pieces/waits.py
+++ b/packages/ragworthollow/src/ragworthollow/pieces/waits.py
@@ -21,7 +21,7 @@
     Parameters
     ----------
     profile : PieceProfile
-        Of the pool.
+        Profile of the pool.
     instances : int
         Number of instances that may receive work.
     calls : sequence of PieceCall
@@ -29,7 +29,7 @@
     pieces_ahead : int
         Number of pieces ahead in the queue.
     now_ms : float
-        Time on the monotonic clock.
+        Current time on the monotonic clock.
     """
     if not instances:
         return float('inf')
@@ -56,7 +56,7 @@
     Parameters
     ----------
     profile : PieceProfile
-        Of the pool.
+        Profile of the pool.
     instances : sequence of UpstreamInstance
         Instances that may receive work.
     calls : sequence of PieceCall
@@ -64,7 +64,7 @@
     queue : sequence of WaitingPiece
         Queued pieces.
     now_ms : float
-        Time on the monotonic clock.
+        Current time on the monotonic clock.
     """
     busy_ms = {
         call.instance.instance: call.started_ms + call.expected_ms - now_ms
--- a/packages/ragworthollow/src/ragworthollow/routes/homes.py
+++ b/packages/ragworthollow/src/ragworthollow/routes/homes.py
@@ -24,10 +24,10 @@
     return first & second
 
 
-def may_run_in(region: str, homes: Homes | None) -> bool:
+def may_run_in(region: str, allowed_regions: Homes | None) -> bool:
     """
     Return whether a request may run in a region.
 
     An unknown region is allowed only if there is no restriction.
     """
-    return homes is None or region in homes
+    return allowed_regions is None or region in allowed_regions
--- a/packages/ragworthollow/src/ragworthollow/routes/upstream_pool.py
+++ b/packages/ragworthollow/src/ragworthollow/routes/upstream_pool.py
@@ -21,7 +21,7 @@
     room_bytes : int
         Storage for results at one instance.
     kept_ms : float
-        How long an instance keeps a result that is not freed.
+        How long an instance keeps a result that is not released.
     """
 
     concurrency: int
--- a/packages/ragworthollow/src/ragworthollow/upstreams/answer_time.py
+++ b/packages/ragworthollow/src/ragworthollow/upstreams/answer_time.py
@@ -20,9 +20,9 @@
 
     _weight: float = 0
     _tokens: float = 0
-    _took: float = 0
+    _duration_ms: float = 0
     _tokens_squared: float = 0
-    _tokens_took: float = 0
+    _tokens_times_duration: float = 0
 
     def note(self, tokens: int, took_ms: float) -> None:
         """
@@ -38,18 +38,22 @@
         decay = 1 - 1 / global_settings.ANSWER_TIME_SAMPLES
         self._weight = self._weight * decay + 1
         self._tokens = self._tokens * decay + tokens
-        self._took = self._took * decay + took_ms
+        self._duration_ms = self._duration_ms * decay + took_ms
         self._tokens_squared = self._tokens_squared * decay + tokens**2
-        self._tokens_took = self._tokens_took * decay + tokens * took_ms
+        self._tokens_times_duration = (
+            self._tokens_times_duration * decay + tokens * took_ms
+        )
 
     def estimate_ms(self, tokens: int) -> float:
         """Return the expected time to the first event; 0 if unknown."""
         if self._weight < global_settings.ANSWER_TIME_LEAST_SAMPLES:
             return 0
         mean_tokens = self._tokens / self._weight
-        mean_ms = self._took / self._weight
+        mean_ms = self._duration_ms / self._weight
         variance = self._tokens_squared / self._weight - mean_tokens**2
-        covariance = self._tokens_took / self._weight - mean_tokens * mean_ms
+        covariance = (
+            self._tokens_times_duration / self._weight - mean_tokens * mean_ms
+        )
         # Prompts of a single length determine no slope, and a longer prompt is
         # never processed faster, so a slope below 0 is noise.
         slope = max(0, covariance / variance) if variance >= 1 else 0
--- a/packages/ragworthollow/src/ragworthollow/upstreams/choice.py
+++ b/packages/ragworthollow/src/ragworthollow/upstreams/choice.py
@@ -57,7 +57,7 @@
     criteria : UpstreamWish
         Selection criteria of the attempt.
     now_ms : float
-        Time on the monotonic clock.
+        Current time on the monotonic clock.
     rng : Random
         Source of randomness that breaks ties.
 
--- a/packages/ragworthollow/src/ragworthollow/upstreams/operator_messages.py
+++ b/packages/ragworthollow/src/ragworthollow/upstreams/operator_messages.py
@@ -47,7 +47,7 @@
 
 class LimitedInstance(Message, omit_defaults=False):
     """
-    Describe an instance that has stated a rate limit.
+    Describe an instance that has advertised a rate limit.
 
     Attributes
     ----------
@@ -56,7 +56,7 @@
     requests_per_s : float
         Requests per second that it accepts from all gateways together.
     named_age_ms : float
-        Time since the instance last stated the limit.
+        Time since the instance last advertised the limit.
     is_sender : bool
         Whether this gateway may send requests to the instance at all.
     """
@@ -79,9 +79,10 @@
     warming : tuple of WarmingInstance
         Instances that are warming up and receive a reduced rate.
     limited : tuple of LimitedInstance
-        Instances that receive at most the rate that they have stated.
+        Instances that receive at most the rate that they advertise.
     refused : dict of str to int
-        Requests refused for that by this gateway since its start, by reason.
+        Requests that this gateway has refused for these reasons since its
+        start, by reason.
     """
 
     drained: tuple[DrainedDomain, ...] = ()
--- a/packages/ragworthollow/src/ragworthollow/upstreams/upstream_instance.py
+++ b/packages/ragworthollow/src/ragworthollow/upstreams/upstream_instance.py
@@ -6,7 +6,7 @@
 @dataclass(frozen=True, kw_only=True, slots=True)
 class UpstreamInstance:
     """
-    Describe one incarnation of an upstream.
+    Describe one incarnation (process lifetime) of an upstream.
 
     Attributes
     ----------
