--- a/packages/ragworthollow/src/ragworthollow/pieces/gate.py
+++ b/packages/ragworthollow/src/ragworthollow/pieces/gate.py
@@ -86,10 +86,10 @@
         """Record that a call has ended."""
         self.running.own.remove(call)
 
-    def drop_asker(self, asker: str) -> None:
+    def drop_asker(self, requester: str) -> None:
         """Cancel the queued pieces of a gateway that has terminated."""
         for waiting in self._queue:
-            if waiting.piece.asker == asker:
+            if waiting.piece.asker == requester:
                 waiting.is_wanted = False
 
     def release_queue(self) -> None:
--- a/packages/ragworthollow/src/ragworthollow/pieces/result_room.py
+++ b/packages/ragworthollow/src/ragworthollow/pieces/result_room.py
@@ -49,7 +49,7 @@
         self,
         instance: str,
         result_bytes: int,
-        until_ms: float,
+        expires_ms: float,
     ) -> None:
         """
         Record the space that untracked results occupy at an instance.
@@ -61,7 +61,7 @@
             handle='',
             instance=instance,
             result_bytes=result_bytes,
-            until_ms=until_ms,
+            until_ms=expires_ms,
         )
 
     def keep(self, stored: KeptResult) -> None:
@@ -87,12 +87,12 @@
         )
         return ''
 
-    def find_handles(self, asker: str) -> tuple[str, ...]:
+    def find_handles(self, requester: str) -> tuple[str, ...]:
         """Return the handles of the results held for one gateway's requests."""
         return tuple(
             stored.handle
             for stored in self._results_by_handle.values()
-            if stored.asker == asker
+            if stored.asker == requester
         )
 
     def forget_instance(self, instance: str) -> None:
