--- a/packages/ragworthollow/src/ragworthollow/outcomes/refusal.py
+++ b/packages/ragworthollow/src/ragworthollow/outcomes/refusal.py
@@ -1,4 +1,4 @@
-"""Define the error body of every process."""
+"""Define the error that every process responds with."""
 
 from ragworthollow.outcomes.outcome import Outcome
 from ragworthollow.outcomes.reason import Reason
--- a/packages/ragworthollow/src/ragworthollow/pieces/gate.py
+++ b/packages/ragworthollow/src/ragworthollow/pieces/gate.py
@@ -68,11 +68,11 @@
         """
         waiting.attempts += 1
         waiting.avoid.add(failed)
-        homes = waiting.piece.homes
+        allowed_regions = waiting.piece.homes
         allowed = [
             instance
             for instance in instances
-            if may_run_in(instance.region, homes)
+            if may_run_in(instance.region, allowed_regions)
         ]
         if waiting.avoid.issuperset(instance.instance for instance in allowed):
             waiting.avoid.clear()
