--- a/packages/ragworthollow/src/ragworthollow/admission/__init__.py
+++ b/packages/ragworthollow/src/ragworthollow/admission/__init__.py
@@ -1,4 +1,4 @@
-"""Decide what runs, what waits and what is refused."""
+"""Admission control: decide which calls run, wait or are rejected."""
 
 from ragworthollow.admission.decisions import Offer, Rejection, Turn
 from ragworthollow.admission.queue import AdmissionQueue
--- a/packages/ragworthollow/src/ragworthollow/admission/decisions.py
+++ b/packages/ragworthollow/src/ragworthollow/admission/decisions.py
@@ -1,4 +1,4 @@
-"""Define what the queue decides."""
+"""Define the results of the decisions of the admission queue."""
 
 from dataclasses import dataclass
 
@@ -9,12 +9,13 @@
 @dataclass(frozen=True, kw_only=True, slots=True)
 class Offer:
     """
-    Accept a ticket into the queue.
+    Report that a ticket was accepted into the queue.
 
     Attributes
     ----------
     evicted : tuple of Ticket
-        Waiting tickets that had to go for it; none of them has started.
+        Waiting tickets evicted to make room for it; none of them has
+        started.
     """
 
     evicted: tuple[Ticket, ...] = ()
@@ -23,14 +24,14 @@
 @dataclass(frozen=True, kw_only=True, slots=True)
 class Rejection:
     """
-    Turn a ticket away.
+    Report that a ticket was rejected.
 
     Attributes
     ----------
     reason : Reason
-        Why.
+        Cause of the rejection.
     wait_ms : float
-        Estimated wait at present.
+        Estimated queueing delay at the time of the rejection.
     """
 
     reason: Reason
@@ -40,14 +41,14 @@
 @dataclass(frozen=True, kw_only=True, slots=True)
 class Turn:
     """
-    Tell what leaves the queue.
+    List the tickets that leave the queue in one round of dispatching.
 
     Attributes
     ----------
     started : tuple of Ticket
-        To be handed to the upstream now.
+        Tickets to send to the upstream now.
     expired : tuple of Ticket
-        Can no longer finish in time; to be refused now.
+        Tickets that can no longer finish in time, to be rejected now.
     """
 
     started: tuple[Ticket, ...] = ()
--- a/packages/ragworthollow/src/ragworthollow/admission/estimate.py
+++ b/packages/ragworthollow/src/ragworthollow/admission/estimate.py
@@ -1,4 +1,4 @@
-"""Estimate how long a call will wait."""
+"""Estimate the queueing delay of a call."""
 
 from dataclasses import dataclass
 
@@ -8,7 +8,7 @@
 @dataclass(frozen=True, kw_only=True, slots=True)
 class Backlog:
     """
-    Describe the calls before a new one.
+    Describe the calls ahead of a new one.
 
     Attributes
     ----------
@@ -19,7 +19,8 @@
     busy : int
         Slots in use.
     entitlement : float
-        Share of the capacity, 0 to 1, the organisation has at present.
+        Share of the capacity, 0 to 1, to which the organisation is entitled
+        at present.
     """
 
     total: int
@@ -35,20 +36,20 @@
     service_ms: float,
 ) -> float:
     """
-    Estimate the wait of a new call.
+    Estimate the queueing delay of a new call.
 
-    The queue is work-conserving and fair: a call waits at most for
-    everything before it at the full rate, and at most for its own
-    organisation's calls at the entitled rate.
+    The queue is work-conserving and fair, which bounds the delay twice: by
+    the time the full capacity takes for everything ahead of the call, and by
+    the time the organisation's fair share takes for its own calls.
 
     Parameters
     ----------
     backlog : Backlog
-        What is before it.
+        Calls ahead of it.
     capacity : int
-        Slots of the upstream.
+        Number of slots of the upstream.
     service_ms : float
-        Time one call holds a slot.
+        Time for which one call holds a slot, in milliseconds.
 
     Returns
     -------
@@ -66,18 +67,18 @@
 
 def get_retry_after_ms(wait_ms: float) -> int:
     """
-    Say when coming back is worth it.
+    Return the delay after which a rejected caller should retry.
 
     Parameters
     ----------
     wait_ms : float
-        Estimated wait at present.
+        Current estimate of the queueing delay.
 
     Returns
     -------
     int
-        Half of the wait, the time in which about half of the queue drains,
-        within a floor and a ceiling.
+        Milliseconds: half of the estimated delay, in which about half of the
+        queue drains, clamped between a floor and a ceiling.
     """
     floor = global_settings.RETRY_AFTER_FLOOR_MS
     ceiling = global_settings.RETRY_AFTER_CEILING_MS
--- a/packages/ragworthollow/src/ragworthollow/admission/order.py
+++ b/packages/ragworthollow/src/ragworthollow/admission/order.py
@@ -1,4 +1,4 @@
-"""Order organisations for the next free slot."""
+"""Choose which organisation gets the next free slot."""
 
 from collections.abc import Iterable
 from dataclasses import dataclass
@@ -15,13 +15,13 @@
     Attributes
     ----------
     organisation : str
-        Its name.
+        Name of the organisation.
     share : Share
-        What it may use.
+        Capacity that it may use.
     running : int
-        Slots it holds now.
+        Number of slots it holds now.
     used_ms : float
-        Slot-milliseconds it used within the window.
+        Slot-milliseconds that it used recently, exponentially decayed.
     """
 
     organisation: str
@@ -31,12 +31,16 @@
 
 
 def is_within_guarantee(claim: Claim, capacity: int) -> bool:
-    """Tell whether an organisation used less than its guarantee of late."""
+    """Return whether recent usage is below the organisation's guarantee."""
     return claim.used_ms < claim.share.guarantee * capacity * WINDOW_MS
 
 
 def is_at_ceiling(claim: Claim, capacity: int) -> bool:
-    """Tell whether one more slot would exceed the ceiling, at least one."""
+    """
+    Return whether one more slot would exceed the organisation's ceiling.
+
+    Every organisation may hold at least one slot.
+    """
     allowed = max(1, int(claim.share.ceiling * capacity))
     return claim.running >= allowed
 
@@ -45,22 +49,23 @@
     """
     Choose the organisation whose call runs next.
 
-    Those within their guarantee come first, the one furthest below it ahead.
-    What they leave idle is lent by weight, and is taken back as soon as a
-    guaranteed organisation asks, since no lent slot is kept beyond the call
-    that it runs.
+    Organisations within their guarantee come first, starting with the one
+    furthest below it.  The capacity they leave idle is distributed by weight.
+    An organisation with a guarantee gets it back as soon as it has calls
+    waiting, since a slot given to another one is freed at the end of a single
+    call.
 
     Parameters
     ----------
     claims : iterable of Claim
         Organisations with waiting calls.
     capacity : int
-        Slots of the upstream.
+        Number of slots of the upstream.
 
     Returns
     -------
     Claim or None
-        None when each of them is at its ceiling.
+        None if all of them are at their ceilings.
     """
     eligible = [each for each in claims if not is_at_ceiling(each, capacity)]
     return min(
--- a/packages/ragworthollow/src/ragworthollow/admission/queue.py
+++ b/packages/ragworthollow/src/ragworthollow/admission/queue.py
@@ -1,4 +1,4 @@
-"""Hold the queue of one upstream and decide on it."""
+"""Queue the calls of one upstream and decide which of them run."""
 
 from collections.abc import Iterator, Mapping
 
@@ -25,16 +25,19 @@
 
 class AdmissionQueue:
     """
-    Queue the calls of one upstream: fair between, urgent first within.
+    Queue the calls of one upstream.
+
+    Slots are shared fairly between organisations; within one organisation,
+    the call with the earliest deadline runs first.
 
     Parameters
     ----------
     capacity : int
-        Calls the upstream runs side by side.
+        Number of calls that the upstream runs concurrently.
     limit : int
-        Calls that may wait.
+        Maximum number of waiting calls.
     service_ms : float
-        First guess of the time one call takes.
+        Initial estimate of the time one call takes, in milliseconds.
     """
 
     def __init__(
@@ -59,28 +62,35 @@
 
     @property
     def waiting(self) -> int:
-        """Return the number of calls that wait."""
+        """Return the number of waiting calls."""
         return len(self._lines)
 
     def get_safe_service_ms(self) -> float:
-        """Return a time within which most calls end, in milliseconds."""
+        """
+        Return a conservative estimate of the service time, in milliseconds.
+
+        Most calls end within it: it is the mean plus a multiple of the mean
+        deviation.
+        """
         return self.service_ms + _DEVIATIONS * self._deviation_ms
 
     def offer(self, ticket: Ticket, now_ms: float) -> Result[Offer, Rejection]:
         """
-        Accept a ticket if it can finish in time, or say at once that not.
+        Enqueue a ticket if it can finish in time; otherwise reject it at once.
+
+        Waiting calls of lower value may be evicted to make room for it.
 
         Parameters
         ----------
         ticket : Ticket
-            The call.
+            Call to enqueue.
         now_ms : float
             Time on the monotonic clock.
 
         Returns
         -------
         Result
-            Acceptance with what had to go, or the rejection.
+            The acceptance with the evicted tickets, or the rejection.
         """
         latest_ms = ticket.deadline_ms - self.get_safe_service_ms()
         if latest_ms < now_ms:
@@ -102,7 +112,7 @@
 
     def take(self, now_ms: float) -> Turn:
         """
-        Fill the free slots.
+        Dispatch waiting calls to the free slots.
 
         Parameters
         ----------
@@ -112,9 +122,9 @@
         Returns
         -------
         Turn
-            What starts, and what can no longer finish in time.
+            Calls that start, and calls that can no longer finish in time.
         """
-        # A call that can hardly finish any more would only waste a slot.
+        # A call that is unlikely to finish in time would only waste a slot.
         limit_ms = now_ms + self.get_safe_service_ms()
         expired = tuple(self._lines.withdraw_late(limit_ms))
         started: list[Ticket] = []
@@ -129,14 +139,14 @@
 
     def finish(self, ticket: Ticket, busy_ms: float, now_ms: float) -> None:
         """
-        Free the slot of a call and correct what was charged for it.
+        Release the slot of a call and correct the usage charged for it.
 
         Parameters
         ----------
         ticket : Ticket
             The call that ended.
         busy_ms : float
-            Time it held the slot.
+            Time for which it held the slot, in milliseconds.
         now_ms : float
             Time on the monotonic clock.
         """
@@ -144,18 +154,25 @@
         self._book.finish(ticket.organisation, correction_ms, now_ms)
 
     def observe_service(self, busy_ms: float) -> None:
-        """Learn from the time a successful call took, in milliseconds."""
+        """
+        Update the estimate of the service time.
+
+        Parameters
+        ----------
+        busy_ms : float
+            Time that a successful call took, in milliseconds.
+        """
         decay = global_settings.LATENCY_DECAY
         error_ms = busy_ms - self.service_ms
         self.service_ms += decay * error_ms
         self._deviation_ms += decay * (abs(error_ms) - self._deviation_ms)
 
     def withdraw(self, ticket: Ticket) -> bool:
-        """Remove a waiting ticket; False when it waits no more."""
+        """Remove a waiting ticket; return False if it no longer waits."""
         return self._lines.withdraw(ticket)
 
     def forget_idle(self, now_ms: float) -> None:
-        """Drop the usage of organisations that are no longer active."""
+        """Discard the usage of organisations that are no longer active."""
         self._book.forget_idle(now_ms)
 
     def _reject(
--- a/packages/ragworthollow/src/ragworthollow/admission/share.py
+++ b/packages/ragworthollow/src/ragworthollow/admission/share.py
@@ -1,4 +1,4 @@
-"""Define the shares of organisations."""
+"""Define the capacity shares of organisations."""
 
 from collections.abc import Iterable, Mapping
 from dataclasses import dataclass
@@ -9,16 +9,16 @@
 @dataclass(frozen=True, kw_only=True, slots=True)
 class Share:
     """
-    Hold what an organisation may use of one upstream.
+    Define how much of an upstream's capacity an organisation may use.
 
     Attributes
     ----------
     guarantee : float
-        Share, 0 to 1, that is its own whenever it asks.
+        Share of the capacity, 0 to 1, available to it whenever it has calls.
     weight : float
-        Relative share of what others leave idle.
+        Relative weight in the distribution of idle capacity.
     ceiling : float
-        Share, 0 to 1, never to be exceeded.
+        Share of the capacity, 0 to 1, that it never exceeds.
     """
 
     guarantee: float = 0
@@ -33,7 +33,7 @@
     organisations: Mapping[str, Organisation],
 ) -> dict[str, Share]:
     """
-    Derive the shares from the configuration.
+    Return the shares that the configuration declares.
 
     Parameters
     ----------
@@ -61,22 +61,23 @@
     active: Iterable[str],
 ) -> float:
     """
-    Return what an organisation may use while others are active.
+    Return the fair share of an organisation while others are active.
 
     Parameters
     ----------
     shares : mapping
         Shares by organisation.
     organisation : str
-        Whose entitlement it is.
+        Organisation whose share is computed.
     active : iterable of str
-        Organisations that hold or want slots at present.
+        Organisations that hold slots or have calls waiting.
 
     Returns
     -------
     float
-        Share of the upstream, 0 to 1: its guarantee and its part of what
-        the active ones' guarantees leave.
+        Share of the capacity, 0 to 1: its guarantee plus its weighted part of
+        the capacity not guaranteed to active organisations, limited by its
+        ceiling.
     """
     names = {organisation, *active}
     known = {name: shares.get(name, DEFAULT_SHARE) for name in names}
--- a/packages/ragworthollow/src/ragworthollow/admission/ticket.py
+++ b/packages/ragworthollow/src/ragworthollow/admission/ticket.py
@@ -1,4 +1,4 @@
-"""Define a call as the queue sees it."""
+"""Define the queue entry of a call."""
 
 from dataclasses import dataclass
 
@@ -6,20 +6,21 @@
 @dataclass(frozen=True, kw_only=True, slots=True)
 class Ticket:
     """
-    Describe one call that wants a slot of the upstream.
+    Describe one call that needs a slot of the upstream.
 
     Attributes
     ----------
     ticket_id : int
-        Unique in its queue, in order of arrival.
+        Identifier, unique within the queue and ascending in order of arrival.
     organisation : str
-        Whose share it uses.
+        Organisation whose share it uses.
     deadline_ms : float
-        Latest useful end of this stage on the monotonic clock.
+        Latest time, on the monotonic clock, at which the end of this stage
+        is still useful.
     worth : float
-        Worth of its request.
+        Value of its request.
     cost_ms : float
-        Busy time that this and all later stages still take.
+        Slot time that this and all later stages still need, in milliseconds.
     """
 
     ticket_id: int
@@ -29,5 +30,5 @@
     cost_ms: float = 1.0
 
     def get_density(self) -> float:
-        """Return the worth still to be had for each millisecond of cost."""
+        """Return the value gained per millisecond of remaining slot time."""
         return self.worth / max(self.cost_ms, 1.0)
--- a/packages/ragworthollow/src/ragworthollow/admission/usage.py
+++ b/packages/ragworthollow/src/ragworthollow/admission/usage.py
@@ -1,4 +1,4 @@
-"""Measure what an organisation has used of late."""
+"""Measure the recent usage of an organisation."""
 
 import math
 from dataclasses import dataclass
@@ -9,14 +9,14 @@
 @dataclass(frozen=True, kw_only=True, slots=True)
 class Usage:
     """
-    Hold a busy time that fades with age.
+    Hold slot time that decays exponentially with age.
 
     Attributes
     ----------
     busy_ms : float
-        Slot-milliseconds used, faded up to `at_ms`.
+        Slot-milliseconds used, decayed up to `at_ms`.
     at_ms : float
-        When it was last brought up to date.
+        Time of the last update, on the monotonic clock.
     """
 
     busy_ms: float = 0
@@ -27,28 +27,28 @@
 
 
 def fade(usage: Usage, now_ms: float) -> float:
-    """Return what is left of a usage at a later time, in milliseconds."""
+    """Return the decayed usage at a later time, in slot-milliseconds."""
     age_ms = max(0, now_ms - usage.at_ms)
     return usage.busy_ms * math.exp(-age_ms / WINDOW_MS)
 
 
 def charge(usage: Usage, busy_ms: float, now_ms: float) -> Usage:
     """
-    Add busy time to a usage.
+    Add slot time to a usage.
 
     Parameters
     ----------
     usage : Usage
-        What was used so far.
+        Usage so far.
     busy_ms : float
-        What is added; negative to correct an estimate.
+        Slot time to add, in milliseconds; negative to correct an estimate.
     now_ms : float
         Time on the monotonic clock.
 
     Returns
     -------
     Usage
-        Never below zero.
+        Updated usage, never below zero.
     """
     total_ms = max(0, fade(usage, now_ms) + busy_ms)
     return Usage(busy_ms=total_ms, at_ms=now_ms)
--- a/packages/ragworthollow/src/ragworthollow/admission/usage_book.py
+++ b/packages/ragworthollow/src/ragworthollow/admission/usage_book.py
@@ -1,10 +1,10 @@
-"""Keep the usage of each organisation."""
+"""Track the usage of each organisation."""
 
 from ragworthollow.admission.usage import NO_USAGE, Usage, charge, fade
 
 
 class UsageBook:
-    """Remember what each organisation runs now and used of late."""
+    """Track the slots and the recent usage of each organisation."""
 
     def __init__(self) -> None:
         self._usage: dict[str, Usage] = {}
@@ -12,7 +12,7 @@
         self.total_running = 0
 
     def get_running(self, organisation: str) -> int:
-        """Return the slots that an organisation holds."""
+        """Return the number of slots that an organisation holds."""
         return self._running.get(organisation, 0)
 
     def get_active(self) -> set[str]:
@@ -20,11 +20,11 @@
         return set(self._running)
 
     def get_used_ms(self, organisation: str, now_ms: float) -> float:
-        """Return the faded slot-milliseconds of an organisation."""
+        """Return the decayed usage of an organisation, in slot-milliseconds."""
         return fade(self._usage.get(organisation, NO_USAGE), now_ms)
 
     def start(self, organisation: str, cost_ms: float, now_ms: float) -> None:
-        """Charge a call that starts with what it is likely to take."""
+        """Record the start of a call and charge its estimated slot time."""
         self._running[organisation] = self.get_running(organisation) + 1
         self.total_running += 1
         self._charge(organisation, cost_ms, now_ms)
@@ -35,7 +35,7 @@
         correction_ms: float,
         now_ms: float,
     ) -> None:
-        """Free a slot and correct what was charged for it."""
+        """Release a slot and correct the usage charged for it."""
         left = self.get_running(organisation) - 1
         self.total_running -= 1
         if left:
@@ -45,7 +45,11 @@
         self._charge(organisation, correction_ms, now_ms)
 
     def forget_idle(self, now_ms: float) -> None:
-        """Drop usages that have faded, so that memory follows activity."""
+        """
+        Discard usages that have decayed to almost nothing.
+
+        This bounds the memory by the number of recently active organisations.
+        """
         self._usage = {
             organisation: usage
             for organisation, usage in self._usage.items()
--- a/packages/ragworthollow/src/ragworthollow/admission/waiting_lines.py
+++ b/packages/ragworthollow/src/ragworthollow/admission/waiting_lines.py
@@ -1,4 +1,4 @@
-"""Hold the waiting calls, one line for each organisation."""
+"""Hold the waiting calls in one queue per organisation."""
 
 import bisect
 from collections.abc import Iterable, Iterator
@@ -7,7 +7,7 @@
 
 
 class WaitingLines:
-    """Keep each organisation's waiting calls in the order of deadlines."""
+    """Queue the waiting calls of each organisation by deadline."""
 
     def __init__(self) -> None:
         self._lines: dict[str, list[Ticket]] = {}
@@ -24,18 +24,18 @@
         return self._lines.get(organisation, [])
 
     def push(self, ticket: Ticket) -> None:
-        """Let a call wait."""
+        """Enqueue a call."""
         line = self._lines.setdefault(ticket.organisation, [])
         bisect.insort(line, ticket, key=_get_order)
 
     def pop(self, organisation: str) -> Ticket:
-        """Take the most urgent call of an organisation."""
+        """Remove and return the most urgent call of an organisation."""
         ticket = self._lines[organisation].pop(0)
         self._drop_empty(organisation)
         return ticket
 
     def withdraw(self, ticket: Ticket) -> bool:
-        """Remove a waiting call; False when it waits no more."""
+        """Remove a waiting call; return False if it no longer waits."""
         line = self.get_line(ticket.organisation)
         position = bisect.bisect_left(line, _get_order(ticket), key=_get_order)
         if position >= len(line) or line[position] != ticket:
@@ -45,7 +45,7 @@
         return True
 
     def withdraw_late(self, limit_ms: float) -> Iterator[Ticket]:
-        """Remove and yield the calls whose deadline is before a time."""
+        """Remove and yield the calls whose deadlines are before `limit_ms`."""
         for organisation in list(self._lines):
             line = self._lines[organisation]
             late = bisect.bisect_left(line, limit_ms, key=_get_deadline)
@@ -54,7 +54,7 @@
             self._drop_empty(organisation)
 
     def count_before(self, ticket: Ticket) -> int:
-        """Count the organisation's calls that are more urgent than this."""
+        """Count the organisation's calls with earlier deadlines."""
         return bisect.bisect_left(
             self.get_line(ticket.organisation),
             ticket.deadline_ms,
