--- a/packages/ragworthollow/src/ragworthollow/admission/estimate.py
+++ b/packages/ragworthollow/src/ragworthollow/admission/estimate.py
@@ -18,7 +18,7 @@
         Waiting calls of the same organisation with an earlier deadline.
     busy : int
         Slots in use.
-    entitlement : float
+    fair_share : float
         Share of the capacity, 0 to 1, to which the organisation is entitled
         at present.
     """
@@ -26,7 +26,7 @@
     total: int
     own: int
     busy: int
-    entitlement: float
+    fair_share: float
 
 
 def estimate_wait_ms(
@@ -60,8 +60,8 @@
         return 0
     residual_ms = service_ms / capacity
     total_ms = backlog.total * service_ms / capacity
-    entitled = max(backlog.entitlement * capacity, 1e-6)
-    own_ms = (backlog.own + 1) * service_ms / entitled
+    fair_capacity = max(backlog.fair_share * capacity, 1e-6)
+    own_ms = (backlog.own + 1) * service_ms / fair_capacity
     return residual_ms + min(total_ms, own_ms)
 
 
--- a/packages/ragworthollow/src/ragworthollow/admission/order.py
+++ b/packages/ragworthollow/src/ragworthollow/admission/order.py
@@ -4,11 +4,11 @@
 from dataclasses import dataclass
 
 from ragworthollow.admission.share import Share
-from ragworthollow.admission.usage import WINDOW_MS
+from ragworthollow.admission.usage import DECAY_TIME_MS
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
-class Claim:
+class Contender:
     """
     Describe one organisation with waiting calls.
 
@@ -30,52 +30,68 @@
     used_ms: float
 
 
-def is_within_guarantee(claim: Claim, capacity: int) -> bool:
+def is_within_guarantee(contender: Contender, capacity: int) -> bool:
     """Return whether recent usage is below the organisation's guarantee."""
-    return claim.used_ms < claim.share.guarantee * capacity * WINDOW_MS
+    return (
+        contender.used_ms < contender.share.guarantee * capacity * DECAY_TIME_MS
+    )
 
 
-def is_at_ceiling(claim: Claim, capacity: int) -> bool:
+def is_at_ceiling(contender: Contender, capacity: int) -> bool:
     """
     Return whether one more slot would exceed the organisation's ceiling.
 
     Every organisation may hold at least one slot.
     """
-    allowed = max(1, int(claim.share.ceiling * capacity))
-    return claim.running >= allowed
+    allowed = max(1, int(contender.share.ceiling * capacity))
+    return contender.running >= allowed
 
 
-def pick(claims: Iterable[Claim], capacity: int) -> Claim | None:
+def choose_next(
+    contenders: Iterable[Contender], capacity: int
+) -> Contender | None:
     """
     Choose the organisation whose call runs next.
 
     Organisations within their guarantee come first, starting with the one
     furthest below it.  The capacity they leave idle is distributed by weight.
     An organisation with a guarantee gets it back as soon as it has calls
-    waiting, since a slot given to another one is freed at the end of a single
+    waiting, since a slot given to others is freed at the end of a single
     call.
 
     Parameters
     ----------
-    claims : iterable of Claim
+    contenders : iterable of Contender
         Organisations with waiting calls.
     capacity : int
         Number of slots of the upstream.
 
     Returns
     -------
-    Claim or None
+    Contender or None
         None if all of them are at their ceilings.
     """
-    eligible = [each for each in claims if not is_at_ceiling(each, capacity)]
+    eligible = [
+        each for each in contenders if not is_at_ceiling(each, capacity)
+    ]
     return min(
         eligible,
-        key=lambda claim: _get_priority(claim, capacity),
+        key=lambda contender: _get_priority(contender, capacity),
         default=None,
     )
 
 
-def _get_priority(claim: Claim, capacity: int) -> tuple[int, float, str]:
-    if is_within_guarantee(claim, capacity):
-        return (0, claim.used_ms / claim.share.guarantee, claim.organisation)
-    return (1, claim.used_ms / claim.share.weight, claim.organisation)
+def _get_priority(
+    contender: Contender, capacity: int
+) -> tuple[int, float, str]:
+    if is_within_guarantee(contender, capacity):
+        return (
+            0,
+            contender.used_ms / contender.share.guarantee,
+            contender.organisation,
+        )
+    return (
+        1,
+        contender.used_ms / contender.share.weight,
+        contender.organisation,
+    )
--- a/packages/ragworthollow/src/ragworthollow/admission/queue.py
+++ b/packages/ragworthollow/src/ragworthollow/admission/queue.py
@@ -6,21 +6,25 @@
 
 from ragworthollow.admission.decisions import Offer, Rejection, Turn
 from ragworthollow.admission.estimate import Backlog, estimate_wait_ms
-from ragworthollow.admission.order import Claim, is_within_guarantee, pick
+from ragworthollow.admission.order import (
+    Contender,
+    choose_next,
+    is_within_guarantee,
+)
+from ragworthollow.admission.organisation_queues import OrganisationQueues
 from ragworthollow.admission.share import (
     DEFAULT_SHARE,
     Share,
-    get_entitlement,
+    get_fair_share,
 )
 from ragworthollow.admission.ticket import Ticket
-from ragworthollow.admission.usage_book import UsageBook
-from ragworthollow.admission.waiting_lines import WaitingLines
+from ragworthollow.admission.usage_tracker import UsageTracker
 from ragworthollow.conf import global_settings
 from ragworthollow.outcomes import Reason
 
 _EVICTION_LIMIT = 4
-_DENSITY_GAP = 0.8
-_DEVIATIONS = 2
+_EVICTION_WORTH_RATIO = 0.8
+_SERVICE_TIME_DEVIATIONS = 2
 
 
 class AdmissionQueue:
@@ -52,18 +56,18 @@
         self.service_ms = service_ms
         self.shares: Mapping[str, Share] = {}
         self._deviation_ms: float = 0
-        self._lines = WaitingLines()
-        self._book = UsageBook()
+        self._queues = OrganisationQueues()
+        self._usage_tracker = UsageTracker()
 
     @property
     def running(self) -> int:
         """Return the number of slots in use."""
-        return self._book.total_running
+        return self._usage_tracker.total_running
 
     @property
     def waiting(self) -> int:
         """Return the number of waiting calls."""
-        return len(self._lines)
+        return len(self._queues)
 
     def get_safe_service_ms(self) -> float:
         """
@@ -72,7 +76,7 @@
         Most calls end within it: it is the mean plus a multiple of the mean
         deviation.
         """
-        return self.service_ms + _DEVIATIONS * self._deviation_ms
+        return self.service_ms + _SERVICE_TIME_DEVIATIONS * self._deviation_ms
 
     def offer(self, ticket: Ticket, now_ms: float) -> Result[Offer, Rejection]:
         """
@@ -102,12 +106,12 @@
             self.waiting >= self.limit
             or now_ms + self._get_wait_ms(ticket) > latest_ms
         ):
-            victim = self._find_victim(ticket, now_ms)
-            if victim is None or len(evicted) >= _EVICTION_LIMIT:
+            candidate = self._find_eviction_candidate(ticket, now_ms)
+            if candidate is None or len(evicted) >= _EVICTION_LIMIT:
                 return self._reject(ticket, evicted, now_ms)
-            self.withdraw(victim)
-            evicted.append(victim)
-        self._lines.push(ticket)
+            self.withdraw(candidate)
+            evicted.append(candidate)
+        self._queues.push(ticket)
         return Ok(Offer(evicted=tuple(evicted)))
 
     def take(self, now_ms: float) -> Turn:
@@ -126,14 +130,16 @@
         """
         # A call that is unlikely to finish in time would only waste a slot.
         limit_ms = now_ms + self.get_safe_service_ms()
-        expired = tuple(self._lines.withdraw_late(limit_ms))
+        expired = tuple(self._queues.pop_late(limit_ms))
         started: list[Ticket] = []
         while self.running < self.capacity:
-            claim = pick(self._get_claims(now_ms), self.capacity)
-            if claim is None:
+            contender = choose_next(self._get_contenders(now_ms), self.capacity)
+            if contender is None:
                 break
-            ticket = self._lines.pop(claim.organisation)
-            self._book.start(claim.organisation, self.service_ms, now_ms)
+            ticket = self._queues.pop(contender.organisation)
+            self._usage_tracker.start(
+                contender.organisation, self.service_ms, now_ms
+            )
             started.append(ticket)
         return Turn(started=tuple(started), expired=expired)
 
@@ -151,7 +157,7 @@
             Time on the monotonic clock.
         """
         correction_ms = busy_ms - self.service_ms
-        self._book.finish(ticket.organisation, correction_ms, now_ms)
+        self._usage_tracker.release(ticket.organisation, correction_ms, now_ms)
 
     def observe_service(self, busy_ms: float) -> None:
         """
@@ -169,11 +175,11 @@
 
     def withdraw(self, ticket: Ticket) -> bool:
         """Remove a waiting ticket; return False if it no longer waits."""
-        return self._lines.withdraw(ticket)
+        return self._queues.cancel(ticket)
 
     def forget_idle(self, now_ms: float) -> None:
         """Discard the usage of organisations that are no longer active."""
-        self._book.forget_idle(now_ms)
+        self._usage_tracker.forget_idle(now_ms)
 
     def _reject(
         self,
@@ -182,30 +188,30 @@
         now_ms: float,
     ) -> Err[Rejection]:
         for removed in evicted:
-            self._lines.push(removed)
+            self._queues.push(removed)
         wait_ms = self._get_wait_ms(ticket)
         return Err(Rejection(reason=Reason.overloaded, wait_ms=wait_ms))
 
-    def _get_claims(self, now_ms: float) -> Iterator[Claim]:
-        for organisation in self._lines.get_organisations():
-            yield self._get_claim(organisation, now_ms)
+    def _get_contenders(self, now_ms: float) -> Iterator[Contender]:
+        for organisation in self._queues.get_organisations():
+            yield self._get_contender(organisation, now_ms)
 
-    def _get_claim(self, organisation: str, now_ms: float) -> Claim:
-        return Claim(
+    def _get_contender(self, organisation: str, now_ms: float) -> Contender:
+        return Contender(
             organisation=organisation,
             share=self.shares.get(organisation, DEFAULT_SHARE),
-            running=self._book.get_running(organisation),
-            used_ms=self._book.get_used_ms(organisation, now_ms),
+            running=self._usage_tracker.get_running(organisation),
+            used_ms=self._usage_tracker.get_used_ms(organisation, now_ms),
         )
 
     def _get_wait_ms(self, ticket: Ticket) -> float:
-        active = self._book.get_active()
-        active.update(self._lines.get_organisations())
+        active = self._usage_tracker.get_active()
+        active.update(self._queues.get_organisations())
         backlog = Backlog(
             total=self.waiting,
-            own=self._lines.count_before(ticket),
+            own=self._queues.count_before(ticket),
             busy=self.running,
-            entitlement=get_entitlement(
+            fair_share=get_fair_share(
                 self.shares,
                 ticket.organisation,
                 active,
@@ -217,20 +223,22 @@
             service_ms=self.service_ms,
         )
 
-    def _find_victim(self, ticket: Ticket, now_ms: float) -> Ticket | None:
-        threshold = ticket.get_density() * _DENSITY_GAP
+    def _find_eviction_candidate(
+        self, ticket: Ticket, now_ms: float
+    ) -> Ticket | None:
+        threshold = ticket.get_worth_per_ms() * _EVICTION_WORTH_RATIO
         candidates = (
             waiting
-            for organisation in self._lines.get_organisations()
-            if self._may_shed(organisation, ticket, now_ms)
-            for waiting in self._lines.get_line(organisation)
+            for organisation in self._queues.get_organisations()
+            if self._may_evict(organisation, ticket, now_ms)
+            for waiting in self._queues.get_queue(organisation)
         )
-        victim = min(candidates, key=Ticket.get_density, default=None)
-        if victim is None or victim.get_density() >= threshold:
+        candidate = min(candidates, key=Ticket.get_worth_per_ms, default=None)
+        if candidate is None or candidate.get_worth_per_ms() >= threshold:
             return None
-        return victim
+        return candidate
 
-    def _may_shed(
+    def _may_evict(
         self,
         organisation: str,
         ticket: Ticket,
@@ -238,5 +246,5 @@
     ) -> bool:
         if organisation == ticket.organisation:
             return True
-        claim = self._get_claim(organisation, now_ms)
-        return not is_within_guarantee(claim, self.capacity)
+        contender = self._get_contender(organisation, now_ms)
+        return not is_within_guarantee(contender, self.capacity)
--- a/packages/ragworthollow/src/ragworthollow/admission/share.py
+++ b/packages/ragworthollow/src/ragworthollow/admission/share.py
@@ -55,7 +55,7 @@
     }
 
 
-def get_entitlement(
+def get_fair_share(
     shares: Mapping[str, Share],
     organisation: str,
     active: Iterable[str],
--- a/packages/ragworthollow/src/ragworthollow/admission/ticket.py
+++ b/packages/ragworthollow/src/ragworthollow/admission/ticket.py
@@ -29,6 +29,6 @@
     worth: float = 1.0
     cost_ms: float = 1.0
 
-    def get_density(self) -> float:
+    def get_worth_per_ms(self) -> float:
         """Return the value gained per millisecond of remaining slot time."""
         return self.worth / max(self.cost_ms, 1.0)
--- a/packages/ragworthollow/src/ragworthollow/admission/usage.py
+++ b/packages/ragworthollow/src/ragworthollow/admission/usage.py
@@ -3,11 +3,11 @@
 import math
 from dataclasses import dataclass
 
-WINDOW_MS = 1000.0
+DECAY_TIME_MS = 1000.0
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
-class Usage:
+class DecayedUsage:
     """
     Hold slot time that decays exponentially with age.
 
@@ -23,22 +23,22 @@
     at_ms: float = 0
 
 
-NO_USAGE = Usage()
+NO_USAGE = DecayedUsage()
 
 
-def fade(usage: Usage, now_ms: float) -> float:
+def decay(usage: DecayedUsage, now_ms: float) -> float:
     """Return the decayed usage at a later time, in slot-milliseconds."""
     age_ms = max(0, now_ms - usage.at_ms)
-    return usage.busy_ms * math.exp(-age_ms / WINDOW_MS)
+    return usage.busy_ms * math.exp(-age_ms / DECAY_TIME_MS)
 
 
-def charge(usage: Usage, busy_ms: float, now_ms: float) -> Usage:
+def charge(usage: DecayedUsage, busy_ms: float, now_ms: float) -> DecayedUsage:
     """
     Add slot time to a usage.
 
     Parameters
     ----------
-    usage : Usage
+    usage : DecayedUsage
         Usage so far.
     busy_ms : float
         Slot time to add, in milliseconds; negative to correct an estimate.
@@ -47,8 +47,8 @@
 
     Returns
     -------
-    Usage
+    DecayedUsage
         Updated usage, never below zero.
     """
-    total_ms = max(0, fade(usage, now_ms) + busy_ms)
-    return Usage(busy_ms=total_ms, at_ms=now_ms)
+    total_ms = max(0, decay(usage, now_ms) + busy_ms)
+    return DecayedUsage(busy_ms=total_ms, at_ms=now_ms)
--- a/packages/ragworthollow/src/ragworthollow/admission/usage_book.py
+++ b/packages/ragworthollow/src/ragworthollow/admission/usage_tracker.py
@@ -1,13 +1,13 @@
 """Track the usage of each organisation."""
 
-from ragworthollow.admission.usage import NO_USAGE, Usage, charge, fade
+from ragworthollow.admission.usage import NO_USAGE, DecayedUsage, charge, decay
 
 
-class UsageBook:
+class UsageTracker:
     """Track the slots and the recent usage of each organisation."""
 
     def __init__(self) -> None:
-        self._usage: dict[str, Usage] = {}
+        self._usage: dict[str, DecayedUsage] = {}
         self._running: dict[str, int] = {}
         self.total_running = 0
 
@@ -21,7 +21,7 @@
 
     def get_used_ms(self, organisation: str, now_ms: float) -> float:
         """Return the decayed usage of an organisation, in slot-milliseconds."""
-        return fade(self._usage.get(organisation, NO_USAGE), now_ms)
+        return decay(self._usage.get(organisation, NO_USAGE), now_ms)
 
     def start(self, organisation: str, cost_ms: float, now_ms: float) -> None:
         """Record the start of a call and charge its estimated slot time."""
@@ -29,7 +29,7 @@
         self.total_running += 1
         self._charge(organisation, cost_ms, now_ms)
 
-    def finish(
+    def release(
         self,
         organisation: str,
         correction_ms: float,
@@ -53,7 +53,7 @@
         self._usage = {
             organisation: usage
             for organisation, usage in self._usage.items()
-            if fade(usage, now_ms) > 1
+            if decay(usage, now_ms) > 1
         }
 
     def _charge(self, organisation: str, cost_ms: float, now_ms: float) -> None:
