--- a/packages/ragworthollow/src/ragworthollow/admission/organisation_queues.py
+++ b/packages/ragworthollow/src/ragworthollow/admission/organisation_queues.py
@@ -45,7 +45,7 @@
         return True
 
     def pop_late(self, limit_ms: float) -> Iterator[Ticket]:
-        """Remove and yield the calls whose deadlines are before `limit_ms`."""
+        """Remove and yield the calls whose deadline is before a time."""
         for organisation in list(self._queues):
             queue = self._queues[organisation]
             late = bisect.bisect_left(queue, limit_ms, key=_get_deadline)
@@ -54,7 +54,7 @@
             self._drop_empty(organisation)
 
     def count_before(self, ticket: Ticket) -> int:
-        """Count the organisation's calls with earlier deadlines."""
+        """Count the organisation's calls that are more urgent than this."""
         return bisect.bisect_left(
             self.get_queue(ticket.organisation),
             ticket.deadline_ms,
