--- a/packages/ragworthollow/src/ragworthollow/throttling/__init__.py
+++ b/packages/ragworthollow/src/ragworthollow/throttling/__init__.py
@@ -1,5 +1,10 @@
-"""Give instances no more than they say they can take."""
+"""Limit the requests to instances to the rates that they accept."""
 
+from ragworthollow.throttling.advertised_limit import (
+    UNLIMITED_PER_S,
+    NamedLimit,
+)
+from ragworthollow.throttling.advertised_limits import NamedLimits
 from ragworthollow.throttling.limit_news import (
     LimitNews,
     make_limit_news,
@@ -10,11 +15,9 @@
     derive_limits,
     derive_named_limits,
 )
-from ragworthollow.throttling.named_limit import UNLIMITED_PER_S, NamedLimit
-from ragworthollow.throttling.named_limits import NamedLimits
 from ragworthollow.throttling.pacer import Pacer
+from ragworthollow.throttling.quota import SenderShare, derive_share
 from ragworthollow.throttling.senders import Senders
-from ragworthollow.throttling.share import SenderShare, derive_share
 from ragworthollow.throttling.throttle import Throttle
 
 __all__ = (
--- /dev/null
+++ b/packages/ragworthollow/src/ragworthollow/throttling/advertised_limit.py
@@ -0,0 +1,57 @@
+"""Define the rate limit that an instance advertises."""
+
+import math
+from dataclasses import dataclass, replace
+
+UNLIMITED_PER_S = math.inf
+
+
+@dataclass(frozen=True, kw_only=True, slots=True)
+class NamedLimit:
+    """
+    Hold the rate limit that one response of an instance advertises.
+
+    The instance stated it at some moment between the request and the response.
+    One of two responses is certainly fresher only if its request was sent
+    after the other response had arrived.  Responses that overlap in time are
+    merged.
+
+    Attributes
+    ----------
+    requests_per_s : float
+        Requests per second that it accepts from all gateways together;
+        `UNLIMITED_PER_S` if the response advertises no limit.
+    asked_ms, heard_ms : float
+        When the request was sent and when the head of its response arrived,
+        on CLOCK_BOOTTIME, which includes time in suspend: on another clock,
+        a limit that this machine sends to other gateways after a suspend
+        would seem fresher than it is.
+    """
+
+    requests_per_s: float
+    asked_ms: float
+    heard_ms: float
+
+    def is_limit(self) -> bool:
+        """Return whether a limit was advertised."""
+        return math.isfinite(self.requests_per_s)
+
+    def merge(self, other: 'NamedLimit') -> 'NamedLimit':
+        """
+        Return the limit that applies after two responses.
+
+        If they overlap, the lower limit applies for as long as either of them
+        may be the fresher one: with the higher limit, the instance could
+        receive more than it accepts.
+        """
+        if other.heard_ms <= self.asked_ms:
+            return self
+        if other.asked_ms >= self.heard_ms:
+            return other
+        lower, higher = sorted(
+            (self, other),
+            key=lambda limit: (limit.requests_per_s, -limit.asked_ms),
+        )
+        if not higher.is_limit():
+            return lower
+        return replace(lower, heard_ms=max(lower.heard_ms, higher.heard_ms))
--- a/packages/ragworthollow/src/ragworthollow/throttling/limit_news.py
+++ b/packages/ragworthollow/src/ragworthollow/throttling/limit_news.py
@@ -1,19 +1,23 @@
-"""Define what gateways tell each other of limits."""
+"""Define the messages in which gateways exchange rate limits."""
 
-from ragworthollow.throttling.named_limit import UNLIMITED_PER_S, NamedLimit
+from ragworthollow.throttling.advertised_limit import (
+    UNLIMITED_PER_S,
+    NamedLimit,
+)
 from ragworthollow.utils.message import Message
 
 
 class LimitNews(Message):
     """
-    Tell what an instance has said of its limit.
+    Report the rate limit that an instance has advertised.
 
     Attributes
     ----------
     asked_age_ms, heard_age_ms : float
-        How long ago the request was sent and its answer came.
+        Time since the request was sent and since its response arrived.
     requests_per_s : float or None
-        Requests a second that it takes; None where it names no limit any more.
+        Requests per second that it accepts; None if it no longer advertises a
+        limit.
     """
 
     asked_age_ms: float
@@ -21,38 +25,40 @@
     requests_per_s: float | None = None
 
 
-def make_limit_news(named: NamedLimit, now_ms: float) -> LimitNews:
-    """Make news of what an answer has said."""
+def make_limit_news(limit: NamedLimit, now_ms: float) -> LimitNews:
+    """Build the update for the limit that a response advertised."""
     return LimitNews(
-        requests_per_s=named.requests_per_s if named.is_limit() else None,
-        asked_age_ms=now_ms - named.asked_ms,
-        heard_age_ms=now_ms - named.heard_ms,
+        requests_per_s=limit.requests_per_s if limit.is_limit() else None,
+        asked_age_ms=now_ms - limit.asked_ms,
+        heard_age_ms=now_ms - limit.heard_ms,
     )
 
 
 def read_limit_news(
-    news: LimitNews,
+    update: LimitNews,
     *,
     sent_after_ms: float,
     now_ms: float,
 ) -> NamedLimit:
     """
-    Read news that were sent within a span of time.
+    Read an update that was sent within a known span of time.
 
-    Clocks of two machines are not compared.  The ages count from some moment
-    in the span, so that the answer is placed in a longer time than it took,
-    and is younger than another one for certain less often.
+    Clocks of different machines are not compared.  The ages count from an
+    unknown moment in the span.  The response is therefore placed in a longer
+    interval than it took, and is certainly fresher than another response less
+    often.
 
     Parameters
     ----------
-    news : LimitNews
-        What was told.
+    update : LimitNews
+        Update that was received.
     sent_after_ms, now_ms : float
-        Between which they were sent, on the clock that counts suspended time.
+        Earliest and latest time at which it was sent, on CLOCK_BOOTTIME,
+        which includes time in suspend.
     """
-    limit_per_s = news.requests_per_s
+    limit_per_s = update.requests_per_s
     return NamedLimit(
         requests_per_s=UNLIMITED_PER_S if limit_per_s is None else limit_per_s,
-        asked_ms=sent_after_ms - news.asked_age_ms,
-        heard_ms=now_ms - news.heard_age_ms,
+        asked_ms=sent_after_ms - update.asked_age_ms,
+        heard_ms=now_ms - update.heard_age_ms,
     )
--- a/packages/ragworthollow/src/ragworthollow/throttling/limits.py
+++ b/packages/ragworthollow/src/ragworthollow/throttling/limits.py
@@ -1,4 +1,4 @@
-"""Define how much an instance can take."""
+"""Define how many requests an instance accepts."""
 
 import math
 from dataclasses import dataclass
@@ -11,16 +11,16 @@
 @dataclass(frozen=True, kw_only=True, slots=True)
 class RateLimits:
     """
-    Bound what all gateways together send to one instance.
+    Limit the requests that all gateways together send to one instance.
 
     Attributes
     ----------
     requests_per_s : float
-        Requests a second that it takes.
+        Requests per second that it accepts.
     burst : int
-        Most requests in any window.
+        Maximum number of requests in any window.
     window_ms : float
-        Length of a window.
+        Length of a window, in milliseconds.
     """
 
     requests_per_s: float
@@ -35,20 +35,20 @@
     burst_slack: float,
 ) -> RateLimits | None:
     """
-    Derive what instances of a pool bear while they warm up.
+    Derive the limits of the instances of a pool while they warm up.
 
     Parameters
     ----------
     requests_per_s : float
-        Requests a second that an instance tolerates; 0 for any number.
+        Requests per second that an instance tolerates; 0 for no limit.
     burst_ratio, burst_slack : float
-        What the installation allows in one second, as a multiple of that
-        rate and as a number beside it.
+        Requests that the installation allows in one second: a multiple of
+        that rate, plus a constant number.
 
     Returns
     -------
     RateLimits or None
-        None where instances need no protection.
+        None if the instances need no protection.
     """
     if requests_per_s <= 0:
         return None
@@ -58,19 +58,21 @@
 
 def derive_named_limits(requests_per_s: float) -> RateLimits:
     """
-    Derive what an instance takes that has named its limit.
+    Derive the limits of an instance that advertises a rate limit.
 
     Parameters
     ----------
     requests_per_s : float
-        The limit, 0 included: now and then a request finds out whether it
-        still holds.
+        Advertised limit.  Even if it is 0, a request is sent now and then to
+        find out whether it still applies.
     """
     rate = max(requests_per_s, global_settings.NAMED_LIMIT_LEAST_PER_S)
     window_ms = global_settings.NAMED_LIMIT_WINDOW_MS
-    most = rate * window_ms / _SECOND_MS * global_settings.NAMED_LIMIT_RATIO
+    max_requests = (
+        rate * window_ms / _SECOND_MS * global_settings.NAMED_LIMIT_RATIO
+    )
     return RateLimits(
         requests_per_s=rate,
-        burst=math.floor(most + global_settings.NAMED_LIMIT_SLACK),
+        burst=math.floor(max_requests + global_settings.NAMED_LIMIT_SLACK),
         window_ms=window_ms,
     )
--- a/packages/ragworthollow/src/ragworthollow/throttling/pacer.py
+++ b/packages/ragworthollow/src/ragworthollow/throttling/pacer.py
@@ -1,75 +1,82 @@
-"""Keep to a number of requests in any window of time."""
+"""Limit the number of requests in any window of time."""
 
 from collections import deque
 from collections.abc import Sequence
 
-from ragworthollow.throttling.share import SenderShare
+from ragworthollow.throttling.quota import SenderShare
 
 _SECOND_MS = 1000
 
 
 class Pacer:
     """
-    Remember the last requests to each instance.
+    Track the latest requests to each instance.
 
-    Counting in sliding windows, rather than filling a bucket, bounds every
-    window of that length: two bursts never meet at the edge of one.
+    Sliding windows, unlike a token bucket, bound the requests in every window
+    of their length: two bursts never meet at the edge of a window.
     """
 
     def __init__(self) -> None:
         self._sent_ms: dict[str, deque[float]] = {}
-        self._kept_until_ms: dict[str, float] = {}
+        self._expires_ms: dict[str, float] = {}
 
     def get_wait_ms(
         self,
         incarnation: str,
-        share: SenderShare,
+        quota: SenderShare,
         now_ms: float,
     ) -> float:
-        """Return how long the next request to an instance has to wait."""
+        """
+        Return how long the next request to an instance has to wait.
+
+        Returns
+        -------
+        float
+            Milliseconds; 0 if it may be sent now.
+        """
         sent_ms = self._sent_ms.get(incarnation, ())
         free_ms = max(
-            _find_free_ms(sent_ms, share.requests, share.window_ms),
-            _find_free_ms(sent_ms, share.requests_at_once, _SECOND_MS),
+            _find_free_ms(sent_ms, quota.requests, quota.window_ms),
+            _find_free_ms(sent_ms, quota.requests_at_once, _SECOND_MS),
         )
         return max(0, free_ms - now_ms)
 
     def note(
         self,
         incarnation: str,
-        shares: Sequence[SenderShare],
+        quotas: Sequence[SenderShare],
         now_ms: float,
     ) -> None:
         """
-        Note a request that is sent now.
+        Record a request that is sent now.
 
         Parameters
         ----------
         incarnation : str
-            Start of the instance.
-        shares : sequence of SenderShare
-            All that it is to be counted for.
+            Incarnation of the instance.
+        quotas : sequence of SenderShare
+            Quotas towards which it counts.
         now_ms : float
             Time on the monotonic clock.
         """
         self._forget_before(now_ms)
         sent_ms = self._sent_ms.setdefault(incarnation, deque())
         sent_ms.append(now_ms)
-        kept = max(share.requests for share in shares)
-        while len(sent_ms) > kept:
+        max_kept = max(quota.requests for quota in quotas)
+        while len(sent_ms) > max_kept:
             sent_ms.popleft()
-        longest_ms = max(share.window_ms for share in shares)
-        self._kept_until_ms[incarnation] = now_ms + longest_ms
+        max_window_ms = max(quota.window_ms for quota in quotas)
+        self._expires_ms[incarnation] = now_ms + max_window_ms
 
     def _forget_before(self, now_ms: float) -> None:
-        """Forget instances whose last request no window holds any more."""
-        over = [
+        """Discard instances whose last request is in no window any more."""
+        expired = [
             incarnation
-            for incarnation, until_ms in self._kept_until_ms.items()
-            if until_ms <= now_ms
+            for incarnation, expires_ms in self._expires_ms.items()
+            if expires_ms <= now_ms
         ]
-        for incarnation in over:
-            self._kept_until_ms.pop(incarnation)
+        for incarnation in expired:
+            self._expires_ms.pop(incarnation)
             self._sent_ms.pop(incarnation)
 
 
@@ -78,7 +85,7 @@
     requests: int,
     window_ms: float,
 ) -> float:
-    """Return from when on a window has room for one more request."""
+    """Return the time from which a window has room for one more request."""
     if len(sent_ms) < requests:
         return float('-inf')
     return sent_ms[-requests] + window_ms
--- a/packages/ragworthollow/src/ragworthollow/throttling/share.py
+++ b/packages/ragworthollow/src/ragworthollow/throttling/quota.py
@@ -1,4 +1,4 @@
-"""Share what an instance can take among gateways."""
+"""Divide the requests that an instance accepts among gateways."""
 
 import math
 from dataclasses import dataclass, replace
@@ -6,29 +6,29 @@
 from ragworthollow.conf import global_settings
 from ragworthollow.throttling.limits import RateLimits
 
-# Gateways that a cut keeps apart may choose the senders from two lists of
-# members: both choices together have to stay within the burst.
-_VIEWS = 2
+# During a network partition, gateways may choose the senders from two
+# different lists of members: both choices together must stay within the burst.
+_MEMBER_VIEWS = 2
 _SECOND_MS = 1000
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class SenderShare:
     """
-    Say how many gateways may send, and how much each of them.
+    Define how many gateways may send, and how much each of them.
 
     Attributes
     ----------
     senders : int
-        Gateways that may send to one instance.
+        Number of gateways that may send to one instance.
     requests : int
-        Requests of each of them in any window.
+        Maximum number of requests of each of them in any window.
     window_ms : float
-        Length of a window.
+        Length of a window, in milliseconds.
     requests_at_once : int
-        Requests of each of them in any second.
+        Maximum number of requests of each of them in any second.
     extra : int
-        How many of them, by rank, may send one request more in a window.
+        Number of senders, by rank, that may send one more request per window.
     """
 
     senders: int
@@ -38,7 +38,7 @@
     extra: int = 0
 
     def add_extra(self) -> 'SenderShare':
-        """Return the share of one that may send one request more."""
+        """Return the quota of a gateway that may send one more request."""
         return replace(
             self,
             requests=self.requests + 1,
@@ -48,20 +48,20 @@
 
 def derive_share(limits: RateLimits, gateways: int) -> SenderShare:
     """
-    Derive the share of each sender.
+    Derive the quota of each sender.
 
     Parameters
     ----------
     limits : RateLimits
-        What the instance can take.
+        Limits of the instance.
     gateways : int
-        Gateways that could send to it.
+        Number of gateways that could send to it.
     """
     window_s = limits.window_ms / _SECOND_MS
-    total = min(limits.requests_per_s * window_s, limits.burst / _VIEWS)
+    total = min(limits.requests_per_s * window_s, limits.burst / _MEMBER_VIEWS)
     senders = max(1, min(gateways, math.floor(total)))
     requests = max(1, math.floor(total / senders))
-    # A request arrives a moment after its instance was chosen.
+    # A request arrives some time after its instance was chosen.
     window_ms = limits.window_ms + global_settings.SENDING_MS
     return SenderShare(
         senders=senders,
--- a/packages/ragworthollow/src/ragworthollow/throttling/senders.py
+++ b/packages/ragworthollow/src/ragworthollow/throttling/senders.py
@@ -1,4 +1,4 @@
-"""Choose which gateways may send to an instance that warms up."""
+"""Choose which gateways may send to an instance with rate limits."""
 
 import heapq
 import math
@@ -12,42 +12,43 @@
     Choose the gateways that rank highest for an instance.
 
     Each gateway chooses for itself, from the members that it knows.  When many
-    register at the same time, as after the loss of all or when their leases
-    ran out in an outage, the first of them know of hardly any others.  So a
-    gateway may send only while it is a member itself, and only after a time in
-    which all have heard of it.
+    gateways register at the same time, as after the loss of all of them or
+    when their leases expired during an outage, the first ones know of hardly
+    any others.  A gateway may therefore send only while it is a member itself,
+    and only after a time in which all gateways learn of it.
 
     Parameters
     ----------
     gateway : str
         Name of this gateway.
     settle_ms : float
-        Time in which all gateways hear of one that has registered.
+        Time in which all gateways learn of a gateway that has registered.
     """
 
     def __init__(self, *, gateway: str, settle_ms: float) -> None:
         self._gateway = gateway
-        self._settle_ms = settle_ms
+        self._propagation_ms = settle_ms
         self._members: frozenset[str] = frozenset()
-        self._settled_ms = math.inf
-        # Whether this gateway is chosen, by incarnation and number of senders.
+        self._propagated_ms = math.inf
+        # Cache: whether this gateway may send, by incarnation and number of
+        # senders.
         self._chosen: dict[tuple[str, int], bool] = {}
 
     def set_members(self, members: Collection[str], now_ms: float) -> None:
         """
-        Take the gateways that are members now.
+        Set the gateways that are members now.
 
         Parameters
         ----------
         members : collection of str
-            Their names, with that of this gateway if it is listed.
+            Their names, including this gateway if it is listed.
         now_ms : float
             Time on the monotonic clock.
         """
         if self._gateway not in members:
-            self._settled_ms = math.inf
-        elif math.isinf(self._settled_ms):
-            self._settled_ms = now_ms + self._settle_ms
+            self._propagated_ms = math.inf
+        elif math.isinf(self._propagated_ms):
+            self._propagated_ms = now_ms + self._propagation_ms
         current = frozenset(members)
         if current != self._members:
             self._members = current
@@ -59,25 +60,25 @@
 
     def is_chosen(self, incarnation: str, senders: int, now_ms: float) -> bool:
         """
-        Tell whether this gateway may send to an instance.
+        Return whether this gateway may send to an instance.
 
         Parameters
         ----------
         incarnation : str
-            Start of the instance.
+            Incarnation of the instance.
         senders : int
-            How many gateways may.
+            Number of gateways that may send to it.
         now_ms : float
             Time on the monotonic clock.
         """
-        if now_ms < self._settled_ms:
+        if now_ms < self._propagated_ms:
             return False
         key = (incarnation, senders)
         if key not in self._chosen:
-            self._chosen[key] = self._rank(incarnation, senders)
+            self._chosen[key] = self._is_among_highest(incarnation, senders)
         return self._chosen[key]
 
-    def _rank(self, incarnation: str, senders: int) -> bool:
+    def _is_among_highest(self, incarnation: str, senders: int) -> bool:
         highest = heapq.nlargest(
             senders,
             self._members,
--- a/packages/ragworthollow/src/ragworthollow/throttling/throttle.py
+++ b/packages/ragworthollow/src/ragworthollow/throttling/throttle.py
@@ -1,42 +1,43 @@
-"""Decide which instances may get a request from this gateway now."""
+"""Decide to which instances this gateway may send a request now."""
 
 from collections.abc import Iterator
 
+from ragworthollow.throttling.advertised_limits import NamedLimits
 from ragworthollow.throttling.limits import RateLimits, derive_named_limits
-from ragworthollow.throttling.named_limits import NamedLimits
 from ragworthollow.throttling.pacer import Pacer
+from ragworthollow.throttling.quota import SenderShare, derive_share
 from ragworthollow.throttling.senders import Senders
-from ragworthollow.throttling.share import SenderShare, derive_share
-from ragworthollow.throttling.warm_ups import WarmUps
+from ragworthollow.throttling.warm_up_tracker import WarmUpTracker
 from ragworthollow.utils import get_boottime_ms, get_monotonic_ms
 
 
 class Throttle:
     """
-    Keep all gateways together within what instances take.
+    Keep the requests of all gateways together within the limits of instances.
 
-    An instance takes less while it warms up, or names a limit in its answers.
-    All gateways would send to it together: it looks like the least loaded one
-    in the reports that all of them read.  So each such instance is given some
-    gateways by rank, and each of these a fixed number of requests in any
-    window.  Where several bounds hold, each is kept.
+    An instance accepts less while it warms up, or if it advertises a limit in
+    its responses.  All gateways would send to it at the same time, since it
+    looks like the least loaded instance in the reports that all of them read.
+    Each such instance is therefore assigned some gateways by rank, and each of
+    these may send a fixed number of requests in any window.  Where several
+    limits apply, all of them are enforced.
 
     Parameters
     ----------
     gateway : str
         Name of this gateway.
     settle_ms : float
-        Time in which all gateways hear of one that has registered.
+        Time in which all gateways learn of a gateway that has registered.
     """
 
     def __init__(self, *, gateway: str, settle_ms: float) -> None:
-        self.warm_ups = WarmUps()
+        self.warm_ups = WarmUpTracker()
         self.named_limits = NamedLimits()
         self.senders = Senders(gateway=gateway, settle_ms=settle_ms)
         self._pacer = Pacer()
 
     def is_needed(self) -> bool:
-        """Tell whether any instance may take less than it is given now."""
+        """Return whether any instance may currently have a limit."""
         if self.named_limits.may_have_any(get_boottime_ms()):
             return True
         return self.warm_ups.may_have_any(get_monotonic_ms())
@@ -50,15 +51,15 @@
         is_only_sender: bool = False,
     ) -> float:
         """
-        Return how long an instance may get nothing from here.
+        Return how long this gateway must not send to an instance.
 
         Parameters
         ----------
         incarnation : str
-            Start of the instance.
+            Incarnation of the instance.
         warm_up_limits : RateLimits or None
-            What instances of its pool bear while they warm up; None for any
-            number.
+            Limits of the instances of its pool while they warm up; None for
+            no limit.
         now_ms : float
             Time on the monotonic clock.
         is_only_sender : bool
@@ -67,24 +68,24 @@
         Returns
         -------
         float
-            0 if it may get a request now.
+            Milliseconds; 0 if it may get a request now.
         """
         wait_ms = 0
-        for limits, left_ms in self._find_bounds(
+        for limits, remaining_ms in self._find_limits(
             incarnation,
             warm_up_limits,
             now_ms,
         ):
-            share = self._find_share(
+            quota = self._find_quota(
                 incarnation,
                 limits,
                 now_ms,
                 is_only_sender=is_only_sender,
             )
-            if share is not None:
-                paced_ms = self._pacer.get_wait_ms(incarnation, share, now_ms)
-                left_ms = min(left_ms, paced_ms)
-            wait_ms = max(wait_ms, left_ms)
+            if quota is not None:
+                paced_ms = self._pacer.get_wait_ms(incarnation, quota, now_ms)
+                remaining_ms = min(remaining_ms, paced_ms)
+            wait_ms = max(wait_ms, remaining_ms)
         return wait_ms
 
     def note_sent(
@@ -95,43 +96,43 @@
         *,
         is_only_sender: bool = False,
     ) -> None:
-        """Note a request that is sent to an instance now."""
-        shares = [
-            self._find_share(
+        """Record a request that is sent to an instance now."""
+        quotas = [
+            self._find_quota(
                 incarnation,
                 limits,
                 now_ms,
                 is_only_sender=is_only_sender,
             )
-            for limits, _ in self._find_bounds(
+            for limits, _ in self._find_limits(
                 incarnation,
                 warm_up_limits,
                 now_ms,
             )
         ]
-        known = [share for share in shares if share is not None]
+        known = [quota for quota in quotas if quota is not None]
         if known:
             self._pacer.note(incarnation, known, now_ms)
 
-    def _find_bounds(
+    def _find_limits(
         self,
         incarnation: str,
         warm_up_limits: RateLimits | None,
         now_ms: float,
     ) -> Iterator[tuple[RateLimits, float]]:
-        """Yield the limits of an instance and for how long each holds."""
-        left_ms = self.warm_ups.get_left_ms(incarnation, now_ms)
-        if warm_up_limits is not None and left_ms:
-            yield warm_up_limits, left_ms
+        """Yield the limits of an instance and how long each still applies."""
+        remaining_ms = self.warm_ups.get_left_ms(incarnation, now_ms)
+        if warm_up_limits is not None and remaining_ms:
+            yield warm_up_limits, remaining_ms
         boottime_ms = get_boottime_ms()
-        named = self.named_limits.find(incarnation, boottime_ms)
-        if named is not None:
+        advertised = self.named_limits.find(incarnation, boottime_ms)
+        if advertised is not None:
             yield (
-                derive_named_limits(named.requests_per_s),
-                self.named_limits.get_left_ms(named, boottime_ms),
+                derive_named_limits(advertised.requests_per_s),
+                self.named_limits.get_left_ms(advertised, boottime_ms),
             )
 
-    def _find_share(
+    def _find_quota(
         self,
         incarnation: str,
         limits: RateLimits,
@@ -139,12 +140,12 @@
         *,
         is_only_sender: bool,
     ) -> SenderShare | None:
-        """Return what this gateway may send; None where others send."""
+        """Return the quota of this gateway; None if only others may send."""
         if is_only_sender:
             return derive_share(limits, 1)
-        share = derive_share(limits, self.senders.count())
-        if not self.senders.is_chosen(incarnation, share.senders, now_ms):
+        quota = derive_share(limits, self.senders.count())
+        if not self.senders.is_chosen(incarnation, quota.senders, now_ms):
             return None
-        if self.senders.is_chosen(incarnation, share.extra, now_ms):
-            return share.add_extra()
-        return share
+        if self.senders.is_chosen(incarnation, quota.extra, now_ms):
+            return quota.add_extra()
+        return quota
