--- a/packages/ragworthollow/src/ragworthollow/quarantine/crash_record.py
+++ b/packages/ragworthollow/src/ragworthollow/quarantine/crash_record.py
@@ -1,4 +1,4 @@
-"""Hold the evidence against one request."""
+"""Hold the crash evidence against one request."""
 
 from collections.abc import Iterable, Mapping
 from dataclasses import dataclass, field
@@ -11,70 +11,70 @@
 @dataclass(kw_only=True, slots=True)
 class Suspect:
     """
-    Hold the crashes in which a request was running.
+    Record the crashes in which a request was running.
 
-    A crash ends everything that runs on the instance, so that most requests
-    in it are harmless.  A run that ends well clears its request of all earlier
-    crashes.  Merging is a union of sets, so that gateways agree in whichever
-    order they hear.
+    A crash ends all requests that run on the instance, so most requests in a
+    crash are harmless.  A successful run clears its request of all earlier
+    crashes.  Records are merged by set union, so that gateways agree regardless
+    of the order in which they receive evidence.
 
     Attributes
     ----------
     crashes : dict of str to float
-        When each incarnation of an instance ended, by its name.
+        Time at which each incarnation of an instance ended, by incarnation.
     cleared : set of str
-        Those crashes that say nothing against the request any more.
+        Incarnations whose crashes no longer count against the request.
     """
 
     crashes: dict[str, float] = field(default_factory=dict)
     cleared: set[str] = field(default_factory=set)
 
     def add(self, crashes: Mapping[str, float], cleared: Iterable[str]) -> bool:
-        """Add evidence, and tell whether any of it is new."""
-        earlier = (len(self.crashes), len(self.cleared))
-        for incarnation, at_ms in crashes.items():
-            known_ms = self.crashes.get(incarnation, at_ms)
-            self.crashes[incarnation] = min(known_ms, at_ms)
+        """Add evidence, and return whether any of it is new."""
+        previous = (len(self.crashes), len(self.cleared))
+        for incarnation, crashed_ms in crashes.items():
+            known_ms = self.crashes.get(incarnation, crashed_ms)
+            self.crashes[incarnation] = min(known_ms, crashed_ms)
         self.cleared.update(cleared)
-        return earlier != (len(self.crashes), len(self.cleared))
+        return previous != (len(self.crashes), len(self.cleared))
 
     def forget_before(self, oldest_ms: float) -> None:
-        """Forget crashes that occurred before some time."""
+        """Discard crashes that occurred before a time."""
         self.crashes = {
-            incarnation: at_ms
-            for incarnation, at_ms in self.crashes.items()
-            if at_ms >= oldest_ms
+            incarnation: crashed_ms
+            for incarnation, crashed_ms in self.crashes.items()
+            if crashed_ms >= oldest_ms
         }
         self.cleared &= self.crashes.keys()
 
-    def list_counted(self) -> list[float]:
-        """Return when the crashes occurred that speak against the request."""
+    def list_uncleared_ms(self) -> list[float]:
+        """Return the times of the crashes that count against the request."""
         return [
-            at_ms
-            for incarnation, at_ms in self.crashes.items()
+            crashed_ms
+            for incarnation, crashed_ms in self.crashes.items()
             if incarnation not in self.cleared
         ]
 
     def get_newest_ms(self) -> float:
-        """Return when the newest crash occurred."""
+        """Return the time of the latest crash."""
         return max(self.crashes.values(), default=NEVER_MS)
 
-    def get_release_ms(self, crash_limit: int, term_ms: float) -> float:
+    def get_release_ms(self, crash_limit: int, quarantine_ms: float) -> float:
         """
-        Return until when the request is quarantined; long past if it is not.
+        Return the end of the quarantine; `NEVER_MS` if there is none.
 
         Parameters
         ----------
         crash_limit : int
-            Crashes from which it is quarantined.
-        term_ms : float
-            For how long after the last of them.  The term doubles with each
-            further crash, so that a request which is let in again and crashes
-            another instance is quarantined for longer.
+            Number of crashes at which the request is quarantined.
+        quarantine_ms : float
+            Duration of the quarantine after the last of them.  It doubles with
+            each further crash, so that a request that is admitted again and
+            crashes another instance is quarantined for longer.
         """
-        counted = self.list_counted()
-        over = len(counted) - crash_limit
-        if over < 0:
+        uncleared_ms = self.list_uncleared_ms()
+        excess = len(uncleared_ms) - crash_limit
+        if excess < 0:
             return NEVER_MS
-        doublings = min(over, global_settings.QUARANTINE_DOUBLINGS_LIMIT)
-        return max(counted) + term_ms * 2**doublings
+        doublings = min(excess, global_settings.QUARANTINE_DOUBLINGS_LIMIT)
+        return max(uncleared_ms) + quarantine_ms * 2**doublings
--- a/packages/ragworthollow/src/ragworthollow/quarantine/crash_registry.py
+++ b/packages/ragworthollow/src/ragworthollow/quarantine/crash_registry.py
@@ -8,21 +8,22 @@
 
 class CrashLedger:
     """
-    Hold the requests that were running in crashes, and tell which are harmful.
+    Record which requests were running in crashes, and decide which are harmful.
 
     The evidence of several gateways can be added in any order and more than
-    once.  Each change gets a number, so that a gateway can tell another what
-    it has not heard.
+    once.  Each change gets a sequence number, so that a gateway can send
+    another one only the changes that it has not received.
 
     Parameters
     ----------
     crash_limit : int
-        Crashes since its last good end from which a request is quarantined.
+        Number of crashes since its last success at which a request is
+        quarantined.
     term_ms : float
-        For how long after the last crash.
+        Duration of the quarantine after the last crash.
     longest : int
-        Most requests that are remembered; those whose evidence is oldest go
-        first, and those that are quarantined last.
+        Maximum number of requests recorded.  Those with the oldest evidence
+        are dropped first, and quarantined requests last.
     """
 
     def __init__(
@@ -33,13 +34,13 @@
         longest: int = global_settings.SUSPECTS_KEPT,
     ) -> None:
         self._crash_limit = crash_limit
-        self._term_ms = term_ms
-        self._longest = longest
-        self._suspects: dict[str, Suspect] = {}
-        # In the order of their last change.
+        self._quarantine_ms = term_ms
+        self._max_records = longest
+        self._records: dict[str, Suspect] = {}
+        # Sequence number of the last change of each request, ascending.
         self._numbers: dict[str, int] = {}
-        self._forget_ms = NEVER_MS
-        self.number = 0
+        self._next_forget_ms = NEVER_MS
+        self.last_number = 0
 
     def note_crash(
         self,
@@ -48,28 +49,28 @@
         now_ms: float,
     ) -> bool:
         """
-        Take it that a request was running when an instance crashed.
+        Record that a request was running when an instance crashed.
 
         Returns
         -------
         bool
-            Whether the request is quarantined from now on and was not before.
+            Whether the request is newly quarantined.
         """
         return self.add(fingerprint, {incarnation: now_ms}, (), now_ms)
 
     def clear(self, fingerprint: str, now_ms: float) -> bool:
         """
-        Take all evidence against a request back.
+        Clear a request of all its crashes.
 
         Returns
         -------
         bool
-            Whether there was any.
+            Whether any crash counted against it.
         """
-        suspect = self._suspects.get(fingerprint)
-        if suspect is None or not suspect.list_counted():
+        record = self._records.get(fingerprint)
+        if record is None or not record.list_uncleared_ms():
             return False
-        self.add(fingerprint, {}, tuple(suspect.crashes), now_ms)
+        self.add(fingerprint, {}, tuple(record.crashes), now_ms)
         return True
 
     def add(
@@ -85,93 +86,95 @@
         Parameters
         ----------
         fingerprint : str
-            The request.
+            Fingerprint of the request.
         crashes : mapping of str to float
-            When incarnations of instances ended that were running it.
+            Times at which incarnations of instances that were running it
+            ended, by incarnation.
         cleared : iterable of str
-            Those that say nothing against it, since it ended well later.
+            Incarnations whose crashes do not count against it, since it has
+            succeeded later.
         now_ms : float
-            Time on the clock that all of these are on.
+            Current time, on the same clock as the crashes.
 
         Returns
         -------
         bool
-            Whether the request is quarantined from now on and was not before.
+            Whether the request is newly quarantined.
         """
-        suspect = self._suspects.get(fingerprint)
-        if suspect is None:
-            suspect = Suspect()
+        record = self._records.get(fingerprint)
+        if record is None:
+            record = Suspect()
         was_quarantined = self.get_left_ms(fingerprint, now_ms) > 0
-        if not suspect.add(crashes, cleared):
+        if not record.add(crashes, cleared):
             return False
-        self._suspects[fingerprint] = suspect
-        self.number += 1
+        self._records[fingerprint] = record
+        self.last_number += 1
         self._numbers.pop(fingerprint, None)
-        self._numbers[fingerprint] = self.number
+        self._numbers[fingerprint] = self.last_number
         self._forget(now_ms)
         return not was_quarantined and self.get_left_ms(fingerprint, now_ms) > 0
 
     def get_left_ms(self, fingerprint: str, now_ms: float) -> float:
-        """Return for how long a request is quarantined; 0 if it is not."""
-        suspect = self._suspects.get(fingerprint)
-        if suspect is None:
+        """Return the remaining time of a request in quarantine, or 0."""
+        record = self._records.get(fingerprint)
+        if record is None:
             return 0
-        return max(0, self._get_release_ms(suspect) - now_ms)
+        return max(0, self._get_release_ms(record) - now_ms)
 
     def get_suspect(self, fingerprint: str) -> Suspect | None:
         """Return the evidence against a request, or None."""
-        return self._suspects.get(fingerprint)
+        return self._records.get(fingerprint)
 
     def list_quarantined(self, now_ms: float) -> dict[str, float]:
-        """Return how long each request that is quarantined still is."""
+        """Return the remaining time in quarantine by request, if any."""
         return {
-            fingerprint: self._get_release_ms(suspect) - now_ms
-            for fingerprint, suspect in self._suspects.items()
-            if self._get_release_ms(suspect) > now_ms
+            fingerprint: self._get_release_ms(record) - now_ms
+            for fingerprint, record in self._records.items()
+            if self._get_release_ms(record) > now_ms
         }
 
     def count(self) -> int:
-        """Return the number of requests that are remembered."""
-        return len(self._suspects)
+        """Return the number of recorded requests."""
+        return len(self._records)
 
     def list_changes(self, after: int) -> list[tuple[int, str, Suspect]]:
-        """Return what has changed after a number, the oldest change first."""
+        """Return the changes after a sequence number, oldest first."""
         changes = []
         for fingerprint, number in reversed(self._numbers.items()):
             if number <= after:
                 break
-            changes.append((number, fingerprint, self._suspects[fingerprint]))
+            changes.append((number, fingerprint, self._records[fingerprint]))
         changes.reverse()
         return changes
 
-    def _get_release_ms(self, suspect: Suspect) -> float:
-        return suspect.get_release_ms(self._crash_limit, self._term_ms)
+    def _get_release_ms(self, record: Suspect) -> float:
+        return record.get_release_ms(self._crash_limit, self._quarantine_ms)
 
     def _forget(self, now_ms: float) -> None:
         """
-        Forget crashes that are as old as the longest quarantine.
+        Discard crashes that are older than the longest quarantine.
 
-        They outlive a shorter one: a request that is let in again and crashes
-        an instance is quarantined at once.
+        Crashes are kept beyond a shorter quarantine: a request that is admitted
+        again and crashes an instance is quarantined at once.
         """
-        is_full = len(self._suspects) > self._longest
-        if not is_full and now_ms < self._forget_ms:
+        is_full = len(self._records) > self._max_records
+        if not is_full and now_ms < self._next_forget_ms:
             return
-        self._forget_ms = now_ms + global_settings.EVIDENCE_FORGET_MS
-        longest_ms = (
-            self._term_ms * 2**global_settings.QUARANTINE_DOUBLINGS_LIMIT
+        self._next_forget_ms = now_ms + global_settings.EVIDENCE_FORGET_MS
+        max_quarantine_ms = (
+            self._quarantine_ms * 2**global_settings.QUARANTINE_DOUBLINGS_LIMIT
         )
-        for fingerprint, suspect in tuple(self._suspects.items()):
-            suspect.forget_before(now_ms - longest_ms)
-            if not suspect.crashes:
+        for fingerprint, record in tuple(self._records.items()):
+            record.forget_before(now_ms - max_quarantine_ms)
+            if not record.crashes:
                 self._drop(fingerprint)
-        while len(self._suspects) > self._longest:
-            self._drop(min(self._suspects, key=self._rank))
+        while len(self._records) > self._max_records:
+            self._drop(min(self._records, key=self._get_drop_order))
 
-    def _rank(self, fingerprint: str) -> tuple[float, float]:
-        suspect = self._suspects[fingerprint]
-        return self._get_release_ms(suspect), suspect.get_newest_ms()
+    def _get_drop_order(self, fingerprint: str) -> tuple[float, float]:
+        record = self._records[fingerprint]
+        return self._get_release_ms(record), record.get_newest_ms()
 
     def _drop(self, fingerprint: str) -> None:
-        self._suspects.pop(fingerprint)
+        self._records.pop(fingerprint)
         self._numbers.pop(fingerprint)
--- a/packages/ragworthollow/src/ragworthollow/quarantine/evidence_exchange.py
+++ b/packages/ragworthollow/src/ragworthollow/quarantine/evidence_exchange.py
@@ -1,4 +1,4 @@
-"""Exchange evidence with other gateways."""
+"""Exchange crash evidence with other gateways."""
 
 from collections.abc import Callable
 from dataclasses import dataclass
@@ -10,47 +10,48 @@
 
 
 @dataclass(kw_only=True, slots=True)
-class _Peer:
+class _PeerProgress:
     """
-    Hold what another gateway knows, and what is known of it.
+    Track the progress of the exchange with another gateway.
 
     Attributes
     ----------
-    knows_us : bool
-        Whether it has heard from this process.
-    told : int
-        Number of the last change that it has heard.
-    teller : str
+    knows_incarnation : bool
+        Whether it has received an update from this incarnation.
+    acked_number : int
+        Sequence number of the last change that it has acknowledged.
+    sender : str
         Its incarnation.
-    heard : int
-        Number of the last change that was heard from it.
-    awaits_answer : bool
-        Whether it has asked to be told that it was heard.
+    received_number : int
+        Sequence number of the last change that was received from it.
+    needs_ack : bool
+        Whether it has requested an acknowledgement.
     """
 
-    knows_us: bool = False
-    told: int = 0
-    teller: str = ''
-    heard: int = 0
-    awaits_answer: bool = False
+    knows_incarnation: bool = False
+    acked_number: int = 0
+    sender: str = ''
+    received_number: int = 0
+    needs_ack: bool = False
 
 
 class EvidenceExchange:
     """
-    Tell each gateway only what it has not heard yet.
+    Send each gateway only the evidence that it has not received yet.
 
-    What was told counts once the other side says that it has heard it, so
-    that a lost message is told again.  One that starts anew is told all.  When
-    both have heard everything, nothing is sent.
+    Evidence counts as delivered once the other gateway acknowledges it, so
+    that a lost message is sent again.  A gateway that restarts is sent
+    everything.  Nothing is sent while both sides are up to date.
 
     Parameters
     ----------
     incarnation : str
-        Of this process.
+        Incarnation of this process.
     ledger : CrashLedger
-        The evidence.
+        Registry of the evidence.
     on_quarantine : callable
-        Called with each request that is quarantined by what was heard.
+        Called with the fingerprint of each request that received evidence
+        quarantines.
     """
 
     def __init__(
@@ -61,70 +62,73 @@
         on_quarantine: Callable[[str], None],
     ) -> None:
         self._incarnation = incarnation
-        self._ledger = ledger
+        self._registry = ledger
         self._on_quarantine = on_quarantine
-        self._peers: dict[str, _Peer] = {}
+        self._peers: dict[str, _PeerProgress] = {}
 
     def make_news(self, peer_name: str, now_ms: float) -> EvidenceNews | None:
         """
-        Make what a gateway is to be told; None when there is nothing.
+        Build the update for a gateway; return None if there is nothing to send.
 
         Parameters
         ----------
         peer_name : str
-            The gateway.
+            Name of the gateway.
         now_ms : float
-            Time on the clock of the ledger.
+            Time on the clock of the registry.
         """
-        peer = self._peers.setdefault(peer_name, _Peer())
-        is_asking = not peer.knows_us or peer.told < self._ledger.number
-        if not is_asking and not peer.awaits_answer:
+        peer = self._peers.setdefault(peer_name, _PeerProgress())
+        is_asking = (
+            not peer.knows_incarnation
+            or peer.acked_number < self._registry.last_number
+        )
+        if not is_asking and not peer.needs_ack:
             return None
-        peer.awaits_answer = False
-        changes = self._ledger.list_changes(peer.told)
+        peer.needs_ack = False
+        changes = self._registry.list_changes(peer.acked_number)
         changes = changes[: global_settings.EVIDENCE_REPORTS]
         return EvidenceNews(
             teller=self._incarnation,
-            number=changes[-1][0] if changes else self._ledger.number,
-            heard_teller=peer.teller,
-            heard_number=peer.heard,
+            number=changes[-1][0] if changes else self._registry.last_number,
+            heard_teller=peer.sender,
+            heard_number=peer.received_number,
             is_asking=is_asking,
             reports=tuple(
-                make_report(fingerprint, suspect, now_ms)
-                for _, fingerprint, suspect in changes
+                make_report(fingerprint, record, now_ms)
+                for _, fingerprint, record in changes
             ),
         )
 
     def take_news(
         self,
         peer_name: str,
-        news: EvidenceNews,
+        update: EvidenceNews,
         now_ms: float,
     ) -> None:
         """
-        Take what a gateway tells.
+        Apply an update received from a gateway.
 
         Parameters
         ----------
         peer_name : str
-            The gateway.
-        news : EvidenceNews
-            What it tells.
+            Name of the gateway.
+        update : EvidenceNews
+            Update that was received.
         now_ms : float
-            Time on the clock of the ledger.
+            Time on the clock of the registry.
         """
-        peer = self._peers.setdefault(peer_name, _Peer())
-        peer.teller = news.teller
-        peer.heard = news.number
-        peer.awaits_answer = news.is_asking
-        peer.knows_us = news.heard_teller == self._incarnation
-        peer.told = news.heard_number if peer.knows_us else 0
-        for report in news.reports:
+        peer = self._peers.setdefault(peer_name, _PeerProgress())
+        peer.sender = update.teller
+        peer.received_number = update.number
+        peer.needs_ack = update.is_asking
+        peer.knows_incarnation = update.heard_teller == self._incarnation
+        peer.acked_number = update.heard_number if peer.knows_incarnation else 0
+        for report in update.reports:
             self.take_report(report, now_ms)
 
     def take_report(self, report: CrashReport, now_ms: float) -> None:
-        """Take the evidence against one request."""
-        is_new = self._ledger.add(
+        """Apply a report of the evidence against one request."""
+        is_new = self._registry.add(
             report.fingerprint,
             {
                 incarnation: now_ms - age_ms
@@ -139,15 +143,15 @@
 
 def make_report(
     fingerprint: str,
-    suspect: Suspect,
+    record: Suspect,
     now_ms: float,
 ) -> CrashReport:
-    """Make the report of the evidence against one request."""
+    """Build the report of the evidence against one request."""
     return CrashReport(
         fingerprint=fingerprint,
         crash_ages_ms={
-            incarnation: now_ms - at_ms
-            for incarnation, at_ms in suspect.crashes.items()
+            incarnation: now_ms - crashed_ms
+            for incarnation, crashed_ms in record.crashes.items()
         },
-        cleared=tuple(suspect.cleared),
+        cleared=tuple(record.cleared),
     )
--- a/packages/ragworthollow/src/ragworthollow/quarantine/evidence_news.py
+++ b/packages/ragworthollow/src/ragworthollow/quarantine/evidence_news.py
@@ -1,21 +1,21 @@
-"""Define what gateways tell each other of crashes."""
+"""Define the messages in which gateways exchange crash evidence."""
 
 from ragworthollow.utils.message import Message
 
 
 class CrashReport(Message):
     """
-    Tell the evidence against one request.
+    Report the evidence against one request.
 
     Attributes
     ----------
     fingerprint : str
-        The request.
+        Fingerprint of the request.
     crash_ages_ms : dict of str to float
-        How long ago each incarnation of an instance ended that was running
-        it.
+        Time since each incarnation of an instance that was running the
+        request ended, by incarnation.
     cleared : tuple of str
-        Those that say nothing against it any more.
+        Incarnations whose crashes no longer count against the request.
     """
 
     fingerprint: str
@@ -25,22 +25,22 @@
 
 class EvidenceNews(Message):
     """
-    Tell what the other side has not heard, and up to where it was heard.
+    Send changes that the receiver lacks, and acknowledge received changes.
 
     Attributes
     ----------
     teller : str
-        Incarnation of the gateway that tells.
+        Incarnation of the sending gateway.
     number : int
-        Number of its last change that is told.
+        Sequence number of the last of its changes that is sent.
     heard_teller : str
-        Incarnation of the other side from which was heard last.
+        Incarnation of the receiver from which changes were last received.
     heard_number : int
-        Number of the last change that was heard from it.
+        Sequence number of the last change received from that incarnation.
     is_asking : bool
-        Whether the teller has to know that it was heard.
+        Whether the sender requests an acknowledgement.
     reports : tuple of CrashReport
-        What has changed.
+        Evidence that has changed.
     """
 
     teller: str
--- a/packages/ragworthollow/src/ragworthollow/quarantine/fingerprint.py
+++ b/packages/ragworthollow/src/ragworthollow/quarantine/fingerprint.py
@@ -1,4 +1,4 @@
-"""Recognise a request that is sent again."""
+"""Identify requests that are sent repeatedly."""
 
 import hashlib
 
@@ -15,21 +15,21 @@
     body: bytes,
 ) -> str:
     """
-    Digest what makes two requests of callers the same work.
+    Return a digest that is equal for requests that cause the same work.
 
-    The headers are left out: identifiers, time limits and the event after
-    which a stream goes on differ from one try to the next.  The organisation
-    is part of it, so that no organisation can have another's requests taken
-    for its own; the digest is cryptographic for the same reason.
+    Headers are excluded: identifiers, time limits and the event after which a
+    stream resumes differ between attempts.  The organisation is included, so
+    that no organisation can make another's requests be mistaken for its own;
+    the digest is cryptographic for the same reason.
 
     Parameters
     ----------
     organisation : str
-        Who sends the request; empty for a public route.
+        Organisation that sends the request; empty for a public route.
     method, host, target : str
-        Of the request line and its host; the target includes the query.
+        Method, host and target of the request; the target includes the query.
     body : bytes
-        Whole body.
+        Complete body.
 
     Returns
     -------
--- a/packages/ragworthollow/src/ragworthollow/quarantine/operator_messages.py
+++ b/packages/ragworthollow/src/ragworthollow/quarantine/operator_messages.py
@@ -1,4 +1,4 @@
-"""Define what operators and gateways say of requests that are quarantined."""
+"""Define the messages of operators about quarantined requests."""
 
 from ragworthollow.utils.message import Message
 
@@ -8,16 +8,16 @@
 
 class QuarantinedRequest(Message):
     """
-    Show a request that is quarantined.
+    Describe a quarantined request.
 
     Attributes
     ----------
     fingerprint : str
-        The request, as log lines name it.
+        Fingerprint of the request, as in log lines.
     crashes : tuple of str
-        Incarnations of instances that crashed while they ran it.
+        Incarnations of instances that crashed while running it.
     left_ms : float
-        For how long it still is.
+        Remaining time of its quarantine.
     """
 
     fingerprint: str
@@ -26,12 +26,12 @@
 
 
 class ReleaseOrder(Message):
-    """Let a request in again, at every gateway."""
+    """Release a request from quarantine at every gateway."""
 
     fingerprint: str
 
 
 class ReleaseAnswer(Message, omit_defaults=False):
-    """Say whether there was anything against the request."""
+    """Report whether there was evidence against the request."""
 
     is_released: bool
--- a/packages/ragworthollow/src/ragworthollow/throttling/__init__.py
+++ b/packages/ragworthollow/src/ragworthollow/throttling/__init__.py
@@ -4,7 +4,6 @@
     UNLIMITED_PER_S,
     NamedLimit,
 )
-from ragworthollow.throttling.advertised_limits import NamedLimits
 from ragworthollow.throttling.limit_news import (
     LimitNews,
     make_limit_news,
@@ -15,6 +14,7 @@
     derive_limits,
     derive_named_limits,
 )
+from ragworthollow.throttling.named_limits import NamedLimits
 from ragworthollow.throttling.pacer import Pacer
 from ragworthollow.throttling.quota import SenderShare, derive_share
 from ragworthollow.throttling.senders import Senders
