--- a/packages/ragworthollow/src/ragworthollow/quarantine/evidence_exchange.py
+++ b/packages/ragworthollow/src/ragworthollow/quarantine/evidence_exchange.py
@@ -4,9 +4,9 @@
 from dataclasses import dataclass
 
 from ragworthollow.conf import global_settings
-from ragworthollow.quarantine.crash_record import Suspect
-from ragworthollow.quarantine.crash_registry import CrashLedger
 from ragworthollow.quarantine.evidence_news import CrashReport, EvidenceNews
+from ragworthollow.quarantine.ledger import CrashLedger
+from ragworthollow.quarantine.suspect import Suspect
 
 
 @dataclass(kw_only=True, slots=True)
--- a/packages/ragworthollow/src/ragworthollow/routing/__init__.py
+++ b/packages/ragworthollow/src/ragworthollow/routing/__init__.py
@@ -2,7 +2,7 @@
 
 from ragworthollow.routing.choice import choose_peer
 from ragworthollow.routing.ejection import find_stragglers
-from ragworthollow.routing.instance_state import PeerState
+from ragworthollow.routing.peer_state import PeerState
 from ragworthollow.routing.subset import choose_subset
 
 __all__ = ('PeerState', 'choose_peer', 'choose_subset', 'find_stragglers')
--- a/packages/ragworthollow/src/ragworthollow/routing/choice.py
+++ b/packages/ragworthollow/src/ragworthollow/routing/choice.py
@@ -5,7 +5,7 @@
 from dataclasses import dataclass
 
 from ragworthollow.conf import global_settings
-from ragworthollow.routing.instance_state import PeerState
+from ragworthollow.routing.peer_state import PeerState
 from ragworthollow.utils.hashing import get_rank
 
 _SUCCESS_FLOOR = 0.05
--- a/packages/ragworthollow/src/ragworthollow/routing/ejection.py
+++ b/packages/ragworthollow/src/ragworthollow/routing/ejection.py
@@ -4,7 +4,7 @@
 from statistics import median
 
 from ragworthollow.conf import global_settings
-from ragworthollow.routing.instance_state import PeerState
+from ragworthollow.routing.peer_state import PeerState
 
 
 def find_stragglers(peers: Sequence[PeerState]) -> list[PeerState]:
--- a/packages/ragworthollow/src/ragworthollow/throttling/__init__.py
+++ b/packages/ragworthollow/src/ragworthollow/throttling/__init__.py
@@ -1,9 +1,5 @@
 """Limit the requests to instances to the rates that they accept."""
 
-from ragworthollow.throttling.advertised_limit import (
-    UNLIMITED_PER_S,
-    NamedLimit,
-)
 from ragworthollow.throttling.limit_news import (
     LimitNews,
     make_limit_news,
@@ -14,6 +10,10 @@
     derive_limits,
     derive_named_limits,
 )
+from ragworthollow.throttling.named_limit import (
+    UNLIMITED_PER_S,
+    NamedLimit,
+)
 from ragworthollow.throttling.named_limits import NamedLimits
 from ragworthollow.throttling.pacer import Pacer
 from ragworthollow.throttling.quota import SenderShare, derive_share
