--- a/packages/ragworthollow/src/ragworthollow/membership/__init__.py
+++ b/packages/ragworthollow/src/ragworthollow/membership/__init__.py
@@ -1,4 +1,4 @@
-"""Know which processes exist and which of them watch the platform."""
+"""Track which processes exist and which of them watch the platform."""
 
 from ragworthollow.membership.peers import Peers
 
--- a/packages/ragworthollow/src/ragworthollow/membership/fleet_line.py
+++ b/packages/ragworthollow/src/ragworthollow/membership/fleet_line.py
@@ -1,18 +1,18 @@
-"""Define what is known of one process of the fleet."""
+"""Define the status of one process of the fleet."""
 
 from ragworthollow.utils.message import Message
 
 
 class FleetLine(Message):
     """
-    Show what one process has in force.
+    Report the active configuration of one process.
 
     Attributes
     ----------
     instance, address : str
-        Which process.
+        Name and address of the process.
     generation : int or None
-        None when it did not answer.
+        Generation of its active configuration; None if it did not respond.
     """
 
     instance: str
--- a/packages/ragworthollow/src/ragworthollow/membership/gateway_member.py
+++ b/packages/ragworthollow/src/ragworthollow/membership/gateway_member.py
@@ -1,26 +1,27 @@
-"""Define a gateway as the others know it."""
+"""Define a gateway as known to the other gateways."""
 
 from ragworthollow.utils.message import Message
 
 
 class GatewayMember(Message):
     """
-    Name a gateway.
+    Describe a gateway.
 
     Attributes
     ----------
     instance : str
         Name of the instance.
     incarnation : str
-        Changes with every start.
+        Identifier of the process, which changes with every start.
     peer_address : str
-        Where other gateways reach it, `IP:PORT`.
+        Address at which other gateways reach it, `IP:PORT`.
     failure_domain : str
-        Where it runs.
+        Failure domain in which it runs.
     is_leaving : bool
-        Whether it is stopping: it still serves, but hosts no gate.
+        Whether it is shutting down: it still serves requests, but hosts no
+        scheduler.
     capacity : float
-        Cores that it can use for gates.
+        Number of cores that it can use for schedulers.
     """
 
     instance: str
--- a/packages/ragworthollow/src/ragworthollow/membership/gateway_members.py
+++ b/packages/ragworthollow/src/ragworthollow/membership/gateway_members.py
@@ -1,55 +1,56 @@
-"""Know the gateways and choose which of them hosts a gate."""
+"""Track the gateways and choose which of them hosts a scheduler."""
 
 import math
 from collections.abc import Collection, Iterable, Mapping
 
 from ragworthollow.conf import global_settings
 from ragworthollow.membership.gateway_member import GatewayMember
-from ragworthollow.membership.host_capacity import get_capacity_class
+from ragworthollow.membership.host_capacity import get_size_class
 from ragworthollow.transport.host_messages import HostState, MemberChange
 from ragworthollow.utils.hashing import get_rank
 
 WaitsByPool = Mapping[str, list[float]]
 _READERS = 'readers of the store'
-_NO_GATE = ''
+_NO_SCHEDULER = ''
 
 
 class GatewayMembers:
     """
-    Hold the gateways that this one knows.
+    Track the gateways that this gateway knows.
 
-    A gate's host is a choice that each gateway makes for itself: the member
-    that ranks highest for the pool among those that answer, the ones that can
-    carry most before all others.  No agreement is needed, since two hosts for
-    a moment cost full calls, not answers.
+    Each gateway chooses the host of a pool's scheduler for itself: the member
+    with the highest rank for the pool among the responsive members, with larger
+    size classes before smaller ones.  No agreement is needed, since a moment
+    with two hosts reduces the size of batches, but loses no responses.
 
     Parameters
     ----------
     instance : str
         Name of this gateway, which is always a member.
     capacity : float
-        Cores that it can use for gates.
+        Number of cores that it can use for schedulers.
     """
 
     def __init__(self, *, instance: str, capacity: float = 0) -> None:
         self._instance = instance
         self._capacity = capacity
-        # Members in the order of their ranks, by pool; kept while they stay.
+        # Cache: names of members ordered by rank, by pool; valid until the
+        # members or their capacities change.
         self._ranked: dict[str, list[str]] = {}
         self._members: dict[str, GatewayMember] = {}
-        self._silent: set[str] = set()
-        # Silent members asked so far, which says whose turn it is.
-        self._asked_silent = 0
-        # Members that spoke for themselves, and when; by name.
-        self._learned: dict[str, tuple[GatewayMember, float]] = {}
-        # By name, which process of that name is leaving.
+        self._unresponsive: set[str] = set()
+        # Unresponsive members pinged so far, for round-robin selection.
+        self._unresponsive_pinged = 0
+        # Members that reported themselves, and when, by name.
+        self._reported: dict[str, tuple[GatewayMember, float]] = {}
+        # Incarnations that are shutting down, by name.
         self._leaving: dict[str, str] = {}
         self._pools: tuple[str, ...] = ()
         self._waits_ms: dict[str, WaitsByPool] = {}
         self._is_leaving = False
 
     def leave(self) -> None:
-        """Host no gate any more, as long as another member can."""
+        """Host no schedulers any more, as long as another member can."""
         self._is_leaving = True
 
     def replace(
@@ -58,64 +59,74 @@
         proved_ms: float = math.inf,
     ) -> None:
         """
-        Take a whole list of members.
+        Replace the members by a complete list.
 
-        A list that is known to be the newest as of a moment says nothing of
-        those that have spoken for themselves since.  One that joins would be
-        forgotten again until the list has it, and its gates go to and fro.
+        A list confirmed as the latest at some time does not cover members that
+        have reported themselves since.  A joining member would otherwise be
+        dropped until the list contains it, and its schedulers would flap
+        between hosts.
 
         Parameters
         ----------
         members : iterable of GatewayMember
-            All that are listed.
+            All listed members.
         proved_ms : float
-            When nothing newer was there, on the monotonic clock.
+            When the list was confirmed as the latest, on the monotonic clock.
         """
-        earlier = self._members
-        self._learned = {
-            name: (one, learned_ms)
-            for name, (one, learned_ms) in self._learned.items()
-            if learned_ms > proved_ms
+        previous = self._members
+        self._reported = {
+            name: (member, received_ms)
+            for name, (member, received_ms) in self._reported.items()
+            if received_ms > proved_ms
         }
-        self._members = {one.instance: one for one in members}
+        self._members = {member.instance: member for member in members}
         self._members.update(
-            (name, one) for name, (one, _) in self._learned.items()
+            (name, member) for name, (member, _) in self._reported.items()
         )
-        if _get_capacities(earlier) != _get_capacities(self._members):
+        if _get_capacities(previous) != _get_capacities(self._members):
             self._ranked.clear()
-        self._silent &= self._members.keys()
-        for one in self._members.values():
-            self._note_leaving(one)
+        self._unresponsive &= self._members.keys()
+        for member in self._members.values():
+            self._record_leaving(member)
 
     def learn(self, change: MemberChange, now_ms: float) -> None:
         """
-        Take what a member says of itself, at a time on the monotonic clock.
+        Apply a change that a member reports of itself.
 
-        It comes before the next read of the list, so that all change hosts
-        at the same time: two hosts fill the same instances without knowing
-        of each other.
+        It arrives before the next read of the list, so that all gateways change
+        hosts at the same time: two hosts of a pool would send calls to the same
+        instances without knowing of each other.
+
+        Parameters
+        ----------
+        change : MemberChange
+            Change that was received.
+        now_ms : float
+            Time on the monotonic clock.
         """
         member = change.member
         self._members[member.instance] = member
-        self._learned[member.instance] = (member, now_ms)
+        self._reported[member.instance] = (member, now_ms)
         self._ranked.clear()
-        self._silent.discard(member.instance)
-        self._note_leaving(member)
+        self._unresponsive.discard(member.instance)
+        self._record_leaving(member)
 
     def note_silent(self, instance: str) -> None:
-        """Pass over a member until it answers again."""
-        self._silent.add(instance)
+        """Mark a member as unresponsive until it responds again."""
+        self._unresponsive.add(instance)
 
     def note_answer(self, state: HostState) -> None:
         """
-        Choose a member that is not leaving, and take its gates' waits.
+        Record a response of a member: its state and its schedulers' waits.
 
-        A member that leaves is passed over for new pieces, but what it has
-        stays there: its entry in the store may outlive it by seconds.
+        A member that is shutting down gets no new pieces, but the pieces it has
+        stay there: its record in the store may outlive it by seconds.
         """
-        self._silent.discard(state.instance)
+        self._unresponsive.discard(state.instance)
         self._waits_ms[state.instance] = {
-            pool: [math.inf if one is None else one for one in waits_ms]
+            pool: [
+                math.inf if wait_ms is None else wait_ms for wait_ms in waits_ms
+            ]
             for pool, waits_ms in state.waits_ms.items()
         }
         member = self._members.get(state.instance)
@@ -125,19 +136,19 @@
             self._leaving[state.instance] = member.incarnation
 
     def get_waits_ms(self, pool: str, host: str) -> list[float]:
-        """Return a host's waits by priority, as it said last."""
+        """Return the last reported waits of a host in ms, by priority."""
         return self._waits_ms.get(host, {}).get(pool, [])
 
     def is_silent(self, instance: str) -> bool:
-        """Tell whether a member is passed over."""
-        return instance in self._silent
+        """Return whether a member is marked as unresponsive."""
+        return instance in self._unresponsive
 
     def set_pools(self, pools: Iterable[str]) -> None:
-        """Take the pools that have gates."""
+        """Set the pools that have schedulers."""
         self._pools = tuple(pools)
 
     def get_hosts(self) -> list[GatewayMember]:
-        """Return the other members that host gates."""
+        """Return the other members that host schedulers."""
         hosts = {
             host.instance: host
             for host in map(self.find_host, self._pools)
@@ -147,51 +158,55 @@
 
     def choose_asked(self) -> list[GatewayMember]:
         """
-        Choose the other members to be asked whether they live.
+        Choose the other members to ping.
 
-        Beside the hosts these are the first in rank, and members that were
-        silent: those that would be the next hosts, and one of the others in
-        turn.  A member that is asked no more would be passed over for good: it
-        was silent for a moment, as all are when they start, and those that have
-        not met it then choose it as the next host.  Two gates of one pool that
-        do not know of each other follow.
+        Besides the hosts, these are the highest-ranked member of each pool and
+        unresponsive members: those that would be the next hosts, and one of
+        the others in round-robin order.  A member that is pinged no more would
+        be skipped permanently: it was unresponsive for a moment, as all members
+        are when they start, and gateways that did not contact it at that moment
+        choose it as the next host.  The pool would then have two schedulers
+        that do not know of each other.
 
         Returns
         -------
         list of GatewayMember
-            Without a gate, one that is asked for what others tell it.
+            If no pool has a scheduler, it contains one member to poll for the
+            updates that this member receives from others.
         """
-        asked = {one.instance for one in self.get_hosts()}
-        for pool in self._pools or (_NO_GATE,):
-            asked.add(self._rank(pool)[0])
-            asked.update(
-                _list_silent_successors(
+        targets = {host.instance for host in self.get_hosts()}
+        for pool in self._pools or (_NO_SCHEDULER,):
+            targets.add(self._rank(pool)[0])
+            targets.update(
+                _list_unresponsive_candidates(
                     self._rank(pool),
-                    self._silent,
+                    self._unresponsive,
                     self._leaving,
                 ),
             )
-        others = sorted(self._silent - asked)
+        others = sorted(self._unresponsive - targets)
         if others:
-            self._asked_silent += 1
-            asked.add(others[self._asked_silent % len(others)])
-        asked.discard(self._instance)
-        return [self._members[name] for name in asked if name in self._members]
+            self._unresponsive_pinged += 1
+            targets.add(others[self._unresponsive_pinged % len(others)])
+        targets.discard(self._instance)
+        return [
+            self._members[name] for name in targets if name in self._members
+        ]
 
     def get_reader_place(self) -> int | None:
         """
-        Return the place of this gateway among the hosts, which all others ask.
+        Return the rank of this gateway among the hosts, which all others poll.
 
         Returns
         -------
         int or None
-            0 for the first; None when it hosts no gate.
+            0 for the first; None if it hosts no scheduler.
         """
-        hosts = {one.instance for one in self.get_hosts()}
+        hosts = {host.instance for host in self.get_hosts()}
         if not any(self.find_host(pool) is None for pool in self._pools):
             return None
         own_rank = get_rank(_READERS, self._instance)
-        return sum(get_rank(_READERS, one) > own_rank for one in hosts)
+        return sum(get_rank(_READERS, host) > own_rank for host in hosts)
 
     def count(self) -> int:
         """Return the number of gateways, this one included."""
@@ -203,12 +218,12 @@
 
     def find_host(self, pool: str) -> GatewayMember | None:
         """
-        Return the member that hosts the gate of a pool.
+        Return the member that hosts the scheduler of a pool.
 
         Returns
         -------
         GatewayMember or None
-            None when this gateway hosts it.
+            None if this gateway hosts it.
         """
         ranked = self._rank(pool)
         for name in ranked:
@@ -216,20 +231,20 @@
                 if self._is_leaving:
                     continue
                 return None
-            if name not in self._silent and name not in self._leaving:
+            if name not in self._unresponsive and name not in self._leaving:
                 return self._members[name]
         return None
 
     def find_first(self, pool: str) -> GatewayMember | None:
-        """Return the member that ranks highest, silent or not."""
+        """Return the member with the highest rank, responsive or not."""
         return self._members.get(self._rank(pool)[0])
 
-    def _note_leaving(self, member: GatewayMember) -> None:
+    def _record_leaving(self, member: GatewayMember) -> None:
         """
-        Take from an entry whether its process is leaving.
+        Record whether the process of a member is shutting down.
 
-        An entry that was read before that process said so is older: only
-        another process of the name takes it back.
+        A record that was read before the process reported its shutdown is
+        stale: only another incarnation of the member revokes the report.
         """
         if member.is_leaving:
             self._leaving[member.instance] = member.incarnation
@@ -246,7 +261,7 @@
             ranked = sorted(
                 capacities,
                 key=lambda name: (
-                    get_capacity_class(capacities[name]),
+                    get_size_class(capacities[name]),
                     get_rank(pool, name),
                 ),
                 reverse=True,
@@ -256,22 +271,22 @@
 
 
 def _get_capacities(members: Mapping[str, GatewayMember]) -> dict[str, float]:
-    return {name: one.capacity for name, one in members.items()}
+    return {name: member.capacity for name, member in members.items()}
 
 
-def _list_silent_successors(
+def _list_unresponsive_candidates(
     ranked: Iterable[str],
-    silent: Collection[str],
+    unresponsive: Collection[str],
     leaving: Collection[str],
 ) -> list[str]:
-    """Return the silent members that may have to host a gate soon."""
-    found: list[str] = []
-    answering = 0
+    """Return the unresponsive members that may soon be hosts."""
+    candidates: list[str] = []
+    responsive = 0
     for name in ranked:
-        if name in silent:
-            found.append(name)
+        if name in unresponsive:
+            candidates.append(name)
         elif name not in leaving:
-            answering += 1
-        if answering > global_settings.HOST_SUCCESSORS:
+            responsive += 1
+        if responsive > global_settings.HOST_SUCCESSORS:
             break
-    return found[: global_settings.SILENT_ASKED_MOST]
+    return candidates[: global_settings.SILENT_ASKED_MOST]
--- a/packages/ragworthollow/src/ragworthollow/membership/host_capacity.py
+++ b/packages/ragworthollow/src/ragworthollow/membership/host_capacity.py
@@ -1,4 +1,4 @@
-"""Weigh what a gateway can carry for others."""
+"""Determine the capacity of a gateway to host schedulers."""
 
 import math
 
@@ -7,30 +7,31 @@
 
 def measure_capacity(*, cores: float, link_mbps: float) -> float:
     """
-    Return the cores that a host of gates can use.
+    Return the number of cores that a host of schedulers can use.
 
     Parameters
     ----------
     cores : float
-        Cores of the gateway, its share of them taken into account.
+        Cores of the gateway, limited by its CPU share.
     link_mbps : float
-        Bandwidth of its link, Mbit/s; what a busy gate sends and receives
-        may fill it before the cores are busy.
+        Bandwidth of its network link in Mbit/s; the traffic of a busy
+        scheduler may saturate the link before the cores.
     """
     return min(cores, link_mbps / global_settings.HOST_MBPS_PER_CORE)
 
 
-def get_capacity_class(capacity: float) -> int:
+def get_size_class(capacity: float) -> int:
     """
-    Return the class of a capacity; a higher one carries twice as much.
+    Return the size class of a capacity; each class doubles the capacity.
 
-    Hosts are drawn by name within a class, so that gates are spread over all
-    gateways that are about as large.
+    Within a class, hosts are chosen by rank, so that schedulers are spread
+    over all gateways of about the same size.
 
     Parameters
     ----------
     capacity : float
-        In cores; 0 for a gateway that does not tell it, which comes last.
+        Number of cores; 0 for a gateway that does not report it, which comes
+        last.
     """
     if capacity <= 0:
         return global_settings.HOST_LEAST_CLASS
--- a/packages/ragworthollow/src/ragworthollow/membership/peers.py
+++ b/packages/ragworthollow/src/ragworthollow/membership/peers.py
@@ -1,4 +1,4 @@
-"""Derive the peers of a process from the platform's instance list."""
+"""Choose the peers of a process from the platform's instance list."""
 
 import random
 
@@ -9,12 +9,12 @@
 
 class Peers:
     """
-    Choose peers from the last known list.
+    Choose peers from the last known instance list.
 
     Parameters
     ----------
     instance, failure_domain : str
-        This process.
+        Name and failure domain of this process.
     rng : Random
         Source of randomness.
     """
@@ -33,28 +33,28 @@
 
     def get_pool(self, pool: str) -> list[InstanceEntry]:
         """Return the listed instances of one pool."""
-        return [one for one in self.listed.instances if one.pool == pool]
+        return [entry for entry in self.listed.instances if entry.pool == pool]
 
     def is_watcher(self) -> bool:
         """
-        Tell whether this process watches the platform itself.
+        Return whether this process watches the platform itself.
 
-        A process that is not listed yet watches, too: it cannot know whether
-        the others see it.
+        A process that is not listed yet watches as well, since it cannot know
+        whether the other processes see it.
         """
         watchers = self._get_watchers(self._failure_domain)
-        names = {one.instance for one in watchers}
+        names = {watcher.instance for watcher in watchers}
         return self._instance in names or not self.is_listed()
 
     def is_listed(self) -> bool:
-        """Tell whether the platform lists this process."""
+        """Return whether the platform lists this process."""
         return any(
-            one.instance == self._instance for one in self.listed.instances
+            entry.instance == self._instance for entry in self.listed.instances
         )
 
     def get_all_watchers(self) -> list[InstanceEntry]:
-        """Return the watchers of every failure domain but ourselves."""
-        domains = {one.failure_domain for one in self.listed.instances}
+        """Return the watchers of all failure domains, except this process."""
+        domains = {entry.failure_domain for entry in self.listed.instances}
         return [
             watcher
             for domain in sorted(domains)
@@ -63,7 +63,7 @@
         ]
 
     def get_own_watchers(self) -> list[InstanceEntry]:
-        """Return the watchers of our own failure domain but ourselves."""
+        """Return the other watchers of this process's failure domain."""
         return [
             watcher
             for watcher in self._get_watchers(self._failure_domain)
@@ -71,20 +71,22 @@
         ]
 
     def sample(self, size: int) -> list[InstanceEntry]:
-        """Return some random peers."""
+        """Return up to `size` random peers."""
         others = [
-            one
-            for one in self.listed.instances
-            if one.instance != self._instance
+            entry
+            for entry in self.listed.instances
+            if entry.instance != self._instance
         ]
         return self._rng.sample(others, min(size, len(others)))
 
     def _get_watchers(self, domain: str) -> list[InstanceEntry]:
         members = [
-            one for one in self.listed.instances if one.failure_domain == domain
+            entry
+            for entry in self.listed.instances
+            if entry.failure_domain == domain
         ]
         members.sort(
-            key=lambda one: get_rank(f'watch/{domain}', one.instance),
+            key=lambda entry: get_rank(f'watch/{domain}', entry.instance),
             reverse=True,
         )
         return members[: global_settings.WATCHERS_PER_DOMAIN]
--- a/packages/ragworthollow/src/ragworthollow/retries/__init__.py
+++ b/packages/ragworthollow/src/ragworthollow/retries/__init__.py
@@ -1,4 +1,4 @@
-"""Limit further attempts."""
+"""Limit retries and hedged attempts."""
 
 from ragworthollow.retries.budget import RetryBudget
 
--- a/packages/ragworthollow/src/ragworthollow/retries/budget.py
+++ b/packages/ragworthollow/src/ragworthollow/retries/budget.py
@@ -1,22 +1,22 @@
-"""Pay for retries and hedges out of first attempts."""
+"""Limit retries and hedges in proportion to first attempts."""
 
 from ragworthollow.conf import global_settings
 
 
 class RetryBudget:
     """
-    Keep further attempts a fixed share of the traffic of one pool.
+    Limit further attempts to a fixed share of the traffic of one pool.
 
-    Each first attempt earns a fraction of a token and each further attempt
-    costs one.  When a pool fails as a whole the tokens run out, and its load
-    rises by no more than that fraction: a retry storm cannot build up.
+    Each first attempt adds a fraction of a token and each further attempt
+    costs one token.  When a pool fails as a whole, the tokens run out and its
+    load rises by no more than that fraction, which prevents a retry storm.
 
     Parameters
     ----------
     ratio : float
-        Tokens earned by a first attempt.
+        Tokens added by each first attempt.
     burst : float
-        Most tokens that are kept.
+        Maximum number of tokens.
     """
 
     def __init__(
@@ -30,16 +30,16 @@
         self.tokens = burst
 
     def set_burst(self, burst: float) -> None:
-        """Change how many tokens may be kept."""
+        """Set the maximum number of tokens."""
         self._burst = burst
         self.tokens = min(self.tokens, burst)
 
     def earn(self) -> None:
-        """Credit a first attempt."""
+        """Add the tokens of a first attempt."""
         self.tokens = min(self._burst, self.tokens + self._ratio)
 
     def spend(self) -> bool:
-        """Pay for a further attempt; False when nothing is left."""
+        """Withdraw a token for a further attempt; return False without one."""
         if self.tokens < 1:
             return False
         self.tokens -= 1
--- a/packages/ragworthollow/src/ragworthollow/routing/choice.py
+++ b/packages/ragworthollow/src/ragworthollow/routing/choice.py
@@ -14,14 +14,14 @@
 @dataclass(frozen=True, kw_only=True, slots=True)
 class Wish:
     """
-    Say what an attempt wants of its instance.
+    Define how to select the instance of an attempt.
 
     Attributes
     ----------
     affinity_key : str
-        Calls of the same key share a cached prefix; empty for none.
+        Key of the calls that share a cached prefix; empty for none.
     avoid : frozenset of str
-        Instances already tried.
+        Names of instances already tried.
     """
 
     affinity_key: str = ''
@@ -29,25 +29,26 @@
 
 
 def choose_peer(
-    peers: Sequence[PeerState],
-    wish: Wish,
+    states: Sequence[PeerState],
+    criteria: Wish,
     now_ms: float,
     rng: random.Random,
 ) -> PeerState | None:
     """
     Choose the instance for one attempt.
 
-    The instance that holds the prefix is taken while it has free slots;
-    otherwise the better of two random ones, which stays stable when what is
-    known is old.  A busy pool spreads each organisation over all instances:
-    its guarantee holds on each of them, and one instance could not serve it.
+    The instance that holds the prefix is chosen while it has free slots;
+    otherwise the better of two random instances, which remains stable when the
+    load information is stale.  A busy pool spreads each organisation over all
+    instances: its guarantee holds on each of them, and one instance could not
+    serve it.
 
     Parameters
     ----------
-    peers : sequence of PeerState
-        The subset of the pool.
-    wish : Wish
-        Affinity, and what to avoid.
+    states : sequence of PeerState
+        States of the instances in the subset of the pool.
+    criteria : Wish
+        Affinity key, and instances to avoid.
     now_ms : float
         Time on the monotonic clock.
     rng : Random
@@ -56,39 +57,41 @@
     Returns
     -------
     PeerState or None
-        None when no instance is left to try.
+        None if there is no instance left to try.
     """
     untried = [
-        peer for peer in peers if peer.instance.instance not in wish.avoid
+        state
+        for state in states
+        if state.instance.instance not in criteria.avoid
     ]
-    staying = [peer for peer in untried if not peer.load.leaving]
-    usable = [peer for peer in untried if peer.is_usable(now_ms)]
+    staying = [state for state in untried if not state.load.leaving]
+    usable = [state for state in untried if state.is_usable(now_ms)]
     if len(usable) < len(staying) * global_settings.PANIC_SHARE:
-        # When most are suspect the pool failed as a whole, and suspicion
-        # says nothing about single instances any more: the few that are
-        # left, or the first to come back, would drown in the work of all.
+        # If most instances are suspect, the pool has failed as a whole, and
+        # the state of a single instance says nothing any more: the few usable
+        # instances, or the first to recover, would be overloaded by all calls.
         usable = staying
     if not usable:
         return None
-    preferred = _find_preferred(usable, wish.affinity_key, now_ms)
+    preferred = _find_preferred(usable, criteria.affinity_key, now_ms)
     if preferred is not None:
         return preferred
-    pair = rng.sample(usable, min(2, len(usable)))
-    return min(pair, key=lambda peer: get_score(peer, now_ms))
+    candidates = rng.sample(usable, min(2, len(usable)))
+    return min(candidates, key=lambda state: get_score(state, now_ms))
 
 
-def get_score(peer: PeerState, now_ms: float) -> float:
+def get_score(state: PeerState, now_ms: float) -> float:
     """
-    Return how deep in work an instance is, weighted by its failures.
+    Return the queue depth of an instance, weighted by its success rate.
 
-    Latency plays no part: an instance that was slow once would get no calls
-    and could never show that it has recovered.  Stragglers are ejected by
+    Latency is ignored: an instance that was slow once would get no calls and
+    could never show that it has recovered.  Stragglers are ejected by
     comparison with their pool instead.
 
     Parameters
     ----------
-    peer : PeerState
-        The candidate.
+    state : PeerState
+        State of the candidate.
     now_ms : float
         Time on the monotonic clock.
 
@@ -97,8 +100,8 @@
     float
         Lower is better.
     """
-    depth = 1 + peer.get_depth(now_ms)
-    return depth / max(peer.success, _SUCCESS_FLOOR)
+    depth = 1 + state.get_depth(now_ms)
+    return depth / max(state.success_rate, _SUCCESS_FLOOR)
 
 
 def _find_preferred(
@@ -110,7 +113,7 @@
         return None
     preferred = max(
         usable,
-        key=lambda peer: get_rank(affinity_key, peer.instance.instance),
+        key=lambda state: get_rank(affinity_key, state.instance.instance),
     )
     depth = preferred.get_depth(now_ms)
     return None if depth > global_settings.AFFINITY_DEPTH else preferred
--- a/packages/ragworthollow/src/ragworthollow/routing/ejection.py
+++ b/packages/ragworthollow/src/ragworthollow/routing/ejection.py
@@ -1,4 +1,4 @@
-"""Find instances that are much slower than their pool."""
+"""Find instances that are much slower than the rest of their pool."""
 
 from collections.abc import Sequence
 from statistics import median
@@ -7,17 +7,17 @@
 from ragworthollow.routing.peer_state import PeerState
 
 
-def find_stragglers(peers: Sequence[PeerState]) -> list[PeerState]:
+def find_stragglers(states: Sequence[PeerState]) -> list[PeerState]:
     """
-    Find the instances to be left out for a while.
+    Find the instances to eject for a while.
 
-    Slowness is judged against the other instances of the pool at the same
-    time, so that a pool that is slow as a whole loses none.
+    Instances are compared with the others of their pool at the same time, so
+    that none is ejected if the pool is slow as a whole.
 
     Parameters
     ----------
-    peers : sequence of PeerState
-        The subset of one pool.
+    states : sequence of PeerState
+        States of the instances in the subset of one pool.
 
     Returns
     -------
@@ -25,15 +25,15 @@
         Slowest first, never more than a fixed share of the subset.
     """
     known = [
-        peer
-        for peer in peers
-        if peer.samples >= global_settings.EJECTION_MIN_SAMPLES
+        state
+        for state in states
+        if state.samples >= global_settings.EJECTION_MIN_SAMPLES
     ]
     if len(known) < 3:
         return []
-    typical_ms = median(peer.latency_ms for peer in known)
+    typical_ms = median(state.latency_ms for state in known)
     bound_ms = typical_ms * global_settings.EJECTION_FACTOR
-    slow = [peer for peer in known if peer.latency_ms > bound_ms]
-    slow.sort(key=lambda peer: peer.latency_ms, reverse=True)
-    most = int(len(peers) * global_settings.EJECTION_MAX_SHARE)
-    return slow[:most]
+    slow = [state for state in known if state.latency_ms > bound_ms]
+    slow.sort(key=lambda state: state.latency_ms, reverse=True)
+    max_ejected = int(len(states) * global_settings.EJECTION_MAX_SHARE)
+    return slow[:max_ejected]
--- a/packages/ragworthollow/src/ragworthollow/routing/subset.py
+++ b/packages/ragworthollow/src/ragworthollow/routing/subset.py
@@ -1,4 +1,4 @@
-"""Choose the instances of a pool that one entry talks to."""
+"""Choose the instances of a pool to which one entry sends calls."""
 
 from collections import defaultdict
 from collections.abc import Iterable
@@ -15,18 +15,19 @@
     """
     Choose a stable subset, spread over the failure domains.
 
-    A small subset hears from each of its members often enough to know its
-    load.  Rendezvous ranks keep the subset when others come and go; taking
-    the domains in turn keeps work possible when one of them is lost.
+    In a small subset, each member responds often enough for its load to be
+    known.  Rendezvous ranks keep the subset stable when other instances come
+    and go; alternating between the domains keeps the pool usable when one of
+    them fails.
 
     Parameters
     ----------
     entry : str
-        Name of the entry, which makes its subset differ from others'.
+        Name of the entry; different entries get different subsets.
     instances : iterable of InstanceEntry
         The usable instances of one pool.
     size : int
-        Instances wanted.
+        Number of instances wanted.
 
     Returns
     -------
@@ -36,24 +37,28 @@
     domains: dict[str, list[InstanceEntry]] = defaultdict(list)
     for instance in instances:
         domains[instance.failure_domain].append(instance)
-    lines = [_order(entry, members) for members in domains.values()]
-    lines.sort(
-        key=lambda line: get_rank(entry, line[0].failure_domain),
+    ranked_domains = [
+        _sort_by_rank(entry, members) for members in domains.values()
+    ]
+    ranked_domains.sort(
+        key=lambda ranked: get_rank(entry, ranked[0].failure_domain),
         reverse=True,
     )
-    depth = max(map(len, lines), default=0)
+    max_members = max(map(len, ranked_domains), default=0)
     in_turn = [
-        line[position]
-        for position in range(depth)
-        for line in lines
-        if position < len(line)
+        ranked[position]
+        for position in range(max_members)
+        for ranked in ranked_domains
+        if position < len(ranked)
     ]
     return in_turn[:size]
 
 
-def _order(entry: str, members: list[InstanceEntry]) -> list[InstanceEntry]:
+def _sort_by_rank(
+    entry: str, members: list[InstanceEntry]
+) -> list[InstanceEntry]:
     return sorted(
         members,
-        key=lambda one: get_rank(entry, one.instance),
+        key=lambda instance: get_rank(entry, instance.instance),
         reverse=True,
     )
