--- a/packages/ragworthollow/src/ragworthollow/admission/share.py
+++ b/packages/ragworthollow/src/ragworthollow/admission/share.py
@@ -84,5 +84,5 @@
     guaranteed = sum(share.guarantee for share in known.values())
     weights = sum(share.weight for share in known.values())
     own = known[organisation]
-    lent = max(0, 1 - guaranteed) * own.weight / weights
-    return min(own.guarantee + lent, own.ceiling)
+    redistributed = max(0, 1 - guaranteed) * own.weight / weights
+    return min(own.guarantee + redistributed, own.ceiling)
--- a/packages/ragworthollow/src/ragworthollow/membership/gateway_members.py
+++ b/packages/ragworthollow/src/ragworthollow/membership/gateway_members.py
@@ -209,7 +209,7 @@
         return sum(get_rank(_READERS, host) > own_rank for host in hosts)
 
     def count(self) -> int:
-        """Return the number of gateways, this one included."""
+        """Return the number of gateways, including this gateway."""
         return len(self._members.keys() | {self._instance})
 
     def get_members(self) -> Mapping[str, GatewayMember]:
--- a/packages/ragworthollow/src/ragworthollow/quarantine/ledger.py
+++ b/packages/ragworthollow/src/ragworthollow/quarantine/ledger.py
@@ -12,7 +12,7 @@
 
     The evidence of several gateways can be added in any order and more than
     once.  Each change gets a sequence number, so that a gateway can send
-    another one only the changes that it has not received.
+    another gateway only the changes that it has not received.
 
     Parameters
     ----------
--- a/packages/ragworthollow/src/ragworthollow/throttling/named_limit.py
+++ b/packages/ragworthollow/src/ragworthollow/throttling/named_limit.py
@@ -41,7 +41,7 @@
         Return the limit that applies after two responses.
 
         If they overlap, the lower limit applies for as long as either of them
-        may be the fresher one: with the higher limit, the instance could
+        may be the fresher: with the higher limit, the instance could
         receive more than it accepts.
         """
         if other.heard_ms <= self.asked_ms:
--- a/packages/ragworthollow/src/ragworthollow/throttling/senders.py
+++ b/packages/ragworthollow/src/ragworthollow/throttling/senders.py
@@ -13,8 +13,8 @@
 
     Each gateway chooses for itself, from the members that it knows.  When many
     gateways register at the same time, as after the loss of all of them or
-    when their leases expired during an outage, the first ones know of hardly
-    any others.  A gateway may therefore send only while it is a member itself,
+    when their leases expired during an outage, the first gateways know of
+    hardly any others.  A gateway may therefore send only while it is a member itself,
     and only after a time in which all gateways learn of it.
 
     Parameters
@@ -55,7 +55,7 @@
             self._chosen.clear()
 
     def count(self) -> int:
-        """Return the number of gateways, this one included."""
+        """Return the number of gateways, including this gateway."""
         return len(self._members | {self._gateway})
 
     def is_chosen(self, incarnation: str, senders: int, now_ms: float) -> bool:
