--- a/packages/ragworthollow/src/ragworthollow/admission/order.py
+++ b/packages/ragworthollow/src/ragworthollow/admission/order.py
@@ -54,10 +54,10 @@
     Choose the organisation whose call runs next.
 
     Organisations within their guarantee come first, starting with the
-    organisation furthest below it.  The capacity they leave idle is distributed by weight.
-    An organisation with a guarantee gets it back as soon as it has calls
-    waiting, since a slot given to others is freed at the end of a single
-    call.
+    organisation furthest below it.  The capacity they leave idle is
+    redistributed by weight.  An organisation with a guarantee gets it back as
+    soon as it has calls waiting, since a slot given to others is freed at the
+    end of a single call.
 
     Parameters
     ----------
--- a/packages/ragworthollow/src/ragworthollow/throttling/senders.py
+++ b/packages/ragworthollow/src/ragworthollow/throttling/senders.py
@@ -14,8 +14,8 @@
     Each gateway chooses for itself, from the members that it knows.  When many
     gateways register at the same time, as after the loss of all of them or
     when their leases expired during an outage, the first gateways know of
-    hardly any others.  A gateway may therefore send only while it is a member itself,
-    and only after a time in which all gateways learn of it.
+    hardly any others.  A gateway may therefore send only while it is a member
+    itself, and only after a time in which all gateways learn of it.
 
     Parameters
     ----------
