--- a/packages/ragworthollow/src/ragworthollow/quarantine/ledger.py
+++ b/packages/ragworthollow/src/ragworthollow/quarantine/ledger.py
@@ -126,7 +126,7 @@
         return self._records.get(fingerprint)
 
     def list_quarantined(self, now_ms: float) -> dict[str, float]:
-        """Return the remaining time in quarantine by request, if any."""
+        """Return the remaining time of each quarantined request."""
         return {
             fingerprint: self._get_release_ms(record) - now_ms
             for fingerprint, record in self._records.items()
