--- a/packages/ragworthollow/src/ragworthollow/admission/order.py
+++ b/packages/ragworthollow/src/ragworthollow/admission/order.py
@@ -48,7 +48,8 @@
 
 
 def choose_next(
-    contenders: Iterable[Contender], capacity: int
+    contenders: Iterable[Contender],
+    capacity: int,
 ) -> Contender | None:
     """
     Choose the organisation whose call runs next.
@@ -82,7 +83,8 @@
 
 
 def _get_priority(
-    contender: Contender, capacity: int
+    contender: Contender,
+    capacity: int,
 ) -> tuple[int, float, str]:
     if is_within_guarantee(contender, capacity):
         return (
--- a/packages/ragworthollow/src/ragworthollow/admission/queue.py
+++ b/packages/ragworthollow/src/ragworthollow/admission/queue.py
@@ -138,7 +138,9 @@
                 break
             ticket = self._queues.pop(contender.organisation)
             self._usage_tracker.start(
-                contender.organisation, self.service_ms, now_ms
+                contender.organisation,
+                self.service_ms,
+                now_ms,
             )
             started.append(ticket)
         return Turn(started=tuple(started), expired=expired)
@@ -224,7 +226,9 @@
         )
 
     def _find_eviction_candidate(
-        self, ticket: Ticket, now_ms: float
+        self,
+        ticket: Ticket,
+        now_ms: float,
     ) -> Ticket | None:
         threshold = ticket.get_worth_per_ms() * _EVICTION_WORTH_RATIO
         candidates = (
