--- a/packages/ragworthollow/src/ragworthollow/admission/usage.py
+++ b/packages/ragworthollow/src/ragworthollow/admission/usage.py
@@ -1,54 +1,54 @@
-"""Measure what an organisation has used of late."""
+"""Measure the recent usage of an organisation."""
 
 import math
 from dataclasses import dataclass
 
-WINDOW_MS = 1000.0
+DECAY_TIME_MS = 1000.0
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
-class Usage:
+class DecayedUsage:
     """
-    Hold a busy time that fades with age.
+    Hold slot time that decays exponentially with age.
 
     Attributes
     ----------
     busy_ms : float
-        Slot-milliseconds used, faded up to `at_ms`.
+        Slot-milliseconds used, decayed up to `at_ms`.
     at_ms : float
-        When it was last brought up to date.
+        Time of the last update, on the monotonic clock.
     """
 
     busy_ms: float = 0
     at_ms: float = 0
 
 
-NO_USAGE = Usage()
+NO_USAGE = DecayedUsage()
 
 
-def fade(usage: Usage, now_ms: float) -> float:
-    """Return what is left of a usage at a later time, in milliseconds."""
+def decay(usage: DecayedUsage, now_ms: float) -> float:
+    """Return the decayed usage at a later time, in slot-milliseconds."""
     age_ms = max(0, now_ms - usage.at_ms)
-    return usage.busy_ms * math.exp(-age_ms / WINDOW_MS)
+    return usage.busy_ms * math.exp(-age_ms / DECAY_TIME_MS)
 
 
-def charge(usage: Usage, busy_ms: float, now_ms: float) -> Usage:
+def charge(usage: DecayedUsage, busy_ms: float, now_ms: float) -> DecayedUsage:
     """
-    Add busy time to a usage.
+    Add slot time to a usage.
 
     Parameters
     ----------
-    usage : Usage
-        What was used so far.
+    usage : DecayedUsage
+        Usage so far.
     busy_ms : float
-        What is added; negative to correct an estimate.
+        Slot time to add, in milliseconds; negative to correct an estimate.
     now_ms : float
         Time on the monotonic clock.
 
     Returns
     -------
-    Usage
-        Never below zero.
+    DecayedUsage
+        Updated usage, never below zero.
     """
-    total_ms = max(0, fade(usage, now_ms) + busy_ms)
-    return Usage(busy_ms=total_ms, at_ms=now_ms)
+    total_ms = max(0, decay(usage, now_ms) + busy_ms)
+    return DecayedUsage(busy_ms=total_ms, at_ms=now_ms)
