--- a/packages/ragworthollow-daemon/src/ragworthollow_daemon/gateway/answer_notices.py
+++ b/packages/ragworthollow-daemon/src/ragworthollow_daemon/gateway/answer_notices.py
@@ -1,4 +1,4 @@
-"""Apply what instances say of themselves in their answers."""
+"""Apply the metadata that instances send with their responses."""
 
 from collections.abc import Mapping
 
@@ -8,7 +8,7 @@
 from ragworthollow.upstreams import UpstreamInstance
 from ragworthollow.utils import get_monotonic_ms
 from ragworthollow_daemon.gateway.context import GatewayContext
-from ragworthollow_daemon.gateway.limit_notices import note_limit
+from ragworthollow_daemon.gateway.limit_notices import record_limit
 
 _STEP = 'instances'
 
@@ -16,54 +16,56 @@
 def note_marks(
     context: GatewayContext,
     instance: UpstreamInstance,
-    marks: AnswerMarks,
+    metadata: AnswerMarks,
     *,
     asked_ms: float,
     is_authentic: bool = False,
 ) -> None:
     """
-    Apply the marks of an answer, as soon as its head has been read.
+    Apply the metadata of a response as soon as its head has been read.
 
     Parameters
     ----------
     context : GatewayContext
-        Of this process.
+        State of this gateway.
     instance : UpstreamInstance
-        Who was asked.
-    marks : AnswerMarks
-        What the head says.
+        Instance to which the request was sent.
+    metadata : AnswerMarks
+        Metadata from the head of the response.
     asked_ms : float
-        When the request was sent, on the clock that counts suspended time.
+        When the request was sent, on CLOCK_BOOTTIME, which includes time in
+        suspend.
     is_authentic : bool
-        Whether this is certainly the instance's answer to a request for work:
-        only then does a mark that is missing say that it holds no more.
+        Whether this is verified to be the instance's response to a request
+        for work.  Only then does missing metadata mean that it no longer
+        applies.
     """
-    if marks.is_misdirected:
-        # Another instance listens there and speaks of itself.
+    if metadata.is_misdirected:
+        # Another instance listens at the address; the metadata is about it.
         return
     now_ms = get_monotonic_ms()
-    if marks.load is not None:
-        context.book.note_load(instance.instance, marks.load, now_ms)
-    if marks.is_leaving:
-        _note_leaving(context, instance, now_ms)
-    if marks.warm_up_left_ms:
+    if metadata.load is not None:
+        context.book.note_load(instance.instance, metadata.load, now_ms)
+    if metadata.is_leaving:
+        _record_leaving(context, instance, now_ms)
+    if metadata.warm_up_left_ms:
         context.throttle.warm_ups.note(
             instance.get_incarnation(),
-            now_ms + marks.warm_up_left_ms,
+            now_ms + metadata.warm_up_left_ms,
         )
-    if marks.pause_ms is not None:
-        _note_pause(context, instance, now_ms, marks.pause_ms)
-    note_limit(
+    if metadata.pause_ms is not None:
+        _record_pause(context, instance, now_ms, metadata.pause_ms)
+    record_limit(
         context,
         instance,
-        marks,
-        asked_ms=asked_ms,
+        metadata,
+        sent_ms=asked_ms,
         is_authentic=is_authentic,
     )
 
 
 def get_leaving_ages_ms(context: GatewayContext) -> dict[str, float]:
-    """Return what other gateways are to know of instances that leave."""
+    """Return how long ago instances announced their shutdown, for peers."""
     now_ms = get_monotonic_ms()
     return {
         incarnation: now_ms - since_ms
@@ -77,14 +79,14 @@
     ages_ms: Mapping[str, float],
 ) -> None:
     """
-    Take what another gateway knows of instances that leave.
+    Apply another gateway's report of instances that are shutting down.
 
     Parameters
     ----------
     context : GatewayContext
-        Of this process.
+        State of this gateway.
     ages_ms : mapping of str to float
-        How long ago they said so, by their incarnation.
+        How long ago they announced it, in milliseconds, by incarnation.
     """
     now_ms = get_monotonic_ms()
     for incarnation, age_ms in ages_ms.items():
@@ -98,7 +100,7 @@
             )
 
 
-def _note_leaving(
+def _record_leaving(
     context: GatewayContext,
     instance: UpstreamInstance,
     now_ms: float,
@@ -117,7 +119,7 @@
     )
 
 
-def _note_pause(
+def _record_pause(
     context: GatewayContext,
     instance: UpstreamInstance,
     now_ms: float,
--- a/packages/ragworthollow-daemon/src/ragworthollow_daemon/gateway/answer_progress.py
+++ b/packages/ragworthollow-daemon/src/ragworthollow_daemon/gateway/answer_progress.py
@@ -1,4 +1,4 @@
-"""Define how far the answer to a request is."""
+"""Define the progress of the response to a request."""
 
 from dataclasses import dataclass
 
@@ -6,19 +6,20 @@
 @dataclass(kw_only=True, slots=True)
 class AnswerProgress:
     """
-    Tell how far the answer to a request is.
+    Track the progress of the response to a request.
 
-    A caller that leaves ends its request wherever it is; the log can only
-    say who kept it waiting when that is noted on the way.
+    A caller that disconnects cancels its request at any point.  The log can
+    only state what the request was waiting for if that is recorded as the
+    request progresses.
 
     Attributes
     ----------
     step : str
-        What is being waited for.
+        Step that is in progress.
     peer : str
-        Pool, or instance of the attempt under way.
+        Pool, or instance of the current attempt.
     is_started : bool
-        Whether its head is sent, so that no other answer is possible.
+        Whether the head has been sent, so that no other response is possible.
     """
 
     step: str
--- a/packages/ragworthollow-daemon/src/ragworthollow_daemon/gateway/attempt.py
+++ b/packages/ragworthollow-daemon/src/ragworthollow_daemon/gateway/attempt.py
@@ -1,4 +1,4 @@
-"""Make one attempt at one upstream instance."""
+"""Make a single attempt at one upstream instance."""
 
 import asyncio
 from dataclasses import dataclass
@@ -22,25 +22,25 @@
 from ragworthollow_daemon.gateway.upstream_failure import UpstreamFailure
 
 _STEP = 'attempt'
-_INPUTS_GONE = 409
-# Statuses that promise callers that nothing ran; an upstream that sends one
-# without proof may have run the request.
-_PROMISES = frozenset((408, 421, 429, 503))
+_INPUTS_GONE_STATUS = 409
+# Statuses by which callers conclude that the request did not run.  An upstream
+# that sends one without verified metadata may still have run the request.
+_NOT_RUN_STATUSES = frozenset((408, 421, 429, 503))
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
-class UpstreamAnswer:
+class UpstreamResponse:
     """
-    Hold a whole answer.
+    Hold a complete upstream response.
 
     Attributes
     ----------
     status : int
-        As the upstream gave it.
+        Status code sent by the upstream.
     headers : CIMultiDictProxy
-        As received.
+        Headers as received.
     body : bytes
-        Whole body.
+        Complete body.
     """
 
     status: int
@@ -51,18 +51,18 @@
 @dataclass(frozen=True, kw_only=True, slots=True)
 class AttemptPlan:
     """
-    Say how one attempt is to be made.
+    Hold the parameters of one attempt.
 
     Attributes
     ----------
     instance : UpstreamInstance
-        Who is to answer.
+        Target instance.
     timeout_ms : float
-        Longest time for the whole answer, or for the head of a stream.
+        Timeout for the complete response, or for the head of a stream.
     inputs : tuple of str
-        Handles of stage results.
+        Handles of the stage results that the upstream reads.
     last_event_id : str
-        Event after which a stream goes on.
+        Event after which a stream resumes; empty to start at the beginning.
     """
 
     instance: UpstreamInstance
@@ -71,35 +71,35 @@
     last_event_id: str = ''
 
 
-Opened = Result[aiohttp.ClientResponse, UpstreamFailure]
-Answered = Result[UpstreamAnswer, UpstreamFailure]
+OpenResult = Result[aiohttp.ClientResponse, UpstreamFailure]
+FetchResult = Result[UpstreamResponse, UpstreamFailure]
 
 
-async def open_answer(
+async def open_response(
     context: GatewayContext,
     job: RequestJob,
     plan: AttemptPlan,
-) -> Opened:
+) -> OpenResult:
     """
-    Send a request and read the head of its answer.
+    Send a request and read the head of its response.
 
     Parameters
     ----------
     context : GatewayContext
-        Of this process.
+        State of this gateway.
     job : RequestJob
-        The request.
+        Request to send.
     plan : AttemptPlan
-        Who is to answer.
+        Parameters of the attempt.
 
     Returns
     -------
     Result
-        The open answer, to be closed by the caller, or a failure that says
-        whether the request may have run.
+        The open response, which the calling function has to close, or a
+        failure that states whether the request may have run.
     """
     address = plan.instance.address
-    asked_ms = get_boottime_ms()
+    sent_ms = get_boottime_ms()
     headers = make_upstream_headers(
         job.request.headers,
         UpstreamOrder(
@@ -128,45 +128,45 @@
         aiohttp.ClientConnectorError,
         aiohttp.ConnectionTimeoutError,
     ) as error:
-        # No connection was made, so that nothing was sent.
-        return _fail(plan, Reason.connect_failed, error, Outcome.not_run)
+        # No connection was established, so nothing was sent.
+        return _make_error(plan, Reason.connect_failed, error, Outcome.not_run)
     except TimeoutError as error:
-        return _fail(plan, Reason.attempt_timeout, error, Outcome.unknown)
+        return _make_error(plan, Reason.attempt_timeout, error, Outcome.unknown)
     except (aiohttp.ClientError, OSError, ValueError) as error:
-        return _fail(plan, Reason.connection_lost, error, Outcome.unknown)
-    return _check_head(context, job, plan, response, asked_ms)
+        return _make_error(plan, Reason.connection_lost, error, Outcome.unknown)
+    return _check_response_head(context, job, plan, response, sent_ms)
 
 
-async def fetch_answer(
+async def fetch_response(
     context: GatewayContext,
     job: RequestJob,
     plan: AttemptPlan,
-) -> Answered:
+) -> FetchResult:
     """
-    Make an attempt whose answer is passed on only when it is whole.
+    Send a request and read its complete response.
 
     Returns
     -------
     Result
-        The whole answer, or a failure that says whether the request may
-        have run.
+        The complete response, or a failure that states whether the request
+        may have run.
     """
     end_ms = get_monotonic_ms() + plan.timeout_ms
-    opened = await open_answer(context, job, plan)
+    opened = await open_response(context, job, plan)
     if isinstance(opened, Err):
         return opened
     response = opened.ok_value
     try:
         async with asyncio.timeout((end_ms - get_monotonic_ms()) / 1000):
-            body = await _read_whole(response)
+            body = await _read_full_body(response)
     except TimeoutError as error:
-        return _fail(plan, Reason.attempt_timeout, error, Outcome.unknown)
+        return _make_error(plan, Reason.attempt_timeout, error, Outcome.unknown)
     except (aiohttp.ClientError, OSError) as error:
-        return _fail(plan, Reason.truncated, error, Outcome.unknown)
+        return _make_error(plan, Reason.truncated, error, Outcome.unknown)
     finally:
         response.close()
     return Ok(
-        UpstreamAnswer(
+        UpstreamResponse(
             status=response.status,
             headers=response.headers,
             body=body,
@@ -174,12 +174,13 @@
     )
 
 
-async def _read_whole(response: aiohttp.ClientResponse) -> bytes:
+async def _read_full_body(response: aiohttp.ClientResponse) -> bytes:
     """
-    Read a body and make sure that its end is the upstream's.
+    Read a body and verify that the upstream ended it.
 
-    A body without a length ends with its connection; when that connection
-    was reset, the library still reports a complete body.
+    A body without a length ends when its connection closes.  If the
+    connection was reset instead, aiohttp still reports a complete body, so
+    the result of the close is checked as well.
     """
     connection = response.connection
     is_framed = (
@@ -193,54 +194,67 @@
         closed = connection.protocol.closed
     body = await response.read()
     if closed is None:
-        raise aiohttp.ClientPayloadError('end of unframed body not seen')
+        raise aiohttp.ClientPayloadError(
+            'cannot verify the end of a body without a length'
+        )
     await closed
     return body
 
 
-def _check_head(
+def _check_response_head(
     context: GatewayContext,
     job: RequestJob,
     plan: AttemptPlan,
     response: aiohttp.ClientResponse,
-    asked_ms: float,
-) -> Opened:
-    marks = read_marks(response.status, response.headers)
-    is_proved = marks.is_signed or marks.is_not_run
+    sent_ms: float,
+) -> OpenResult:
+    metadata = read_marks(response.status, response.headers)
+    is_verified = metadata.is_signed or metadata.is_not_run
     note_marks(
         context,
         plan.instance,
-        marks,
-        asked_ms=asked_ms,
-        is_authentic=is_proved and marks.request_id == job.terms.request_id,
+        metadata,
+        asked_ms=sent_ms,
+        is_authentic=is_verified
+        and metadata.request_id == job.terms.request_id,
     )
-    failure = _judge(job, plan, response.status, marks)
+    failure = _classify_response(job, plan, response.status, metadata)
     if failure is None:
         return Ok(response)
     response.close()
     return Err(failure)
 
 
-def _judge(
+def _classify_response(
     job: RequestJob,
     plan: AttemptPlan,
     status: int,
-    marks: AnswerMarks,
+    metadata: AnswerMarks,
 ) -> UpstreamFailure | None:
-    if marks.request_id != job.terms.request_id and not marks.is_not_run:
-        return _explain(plan, Reason.mismatched_answer, status, Outcome.unknown)
-    if marks.is_misdirected:
-        return _explain(plan, Reason.misdirected, status, Outcome.not_run)
-    if marks.is_not_run and status == _INPUTS_GONE:
-        return _explain(plan, Reason.inputs_gone, status, Outcome.not_run)
-    if marks.is_not_run:
-        return _explain(plan, Reason.upstream_full, status, Outcome.not_run)
-    if status in _PROMISES or not marks.is_signed:
-        return _explain(plan, Reason.upstream_error, status, Outcome.unknown)
+    if metadata.request_id != job.terms.request_id and not metadata.is_not_run:
+        return _make_status_failure(
+            plan, Reason.mismatched_answer, status, Outcome.unknown
+        )
+    if metadata.is_misdirected:
+        return _make_status_failure(
+            plan, Reason.misdirected, status, Outcome.not_run
+        )
+    if metadata.is_not_run and status == _INPUTS_GONE_STATUS:
+        return _make_status_failure(
+            plan, Reason.inputs_gone, status, Outcome.not_run
+        )
+    if metadata.is_not_run:
+        return _make_status_failure(
+            plan, Reason.upstream_full, status, Outcome.not_run
+        )
+    if status in _NOT_RUN_STATUSES or not metadata.is_signed:
+        return _make_status_failure(
+            plan, Reason.upstream_error, status, Outcome.unknown
+        )
     return None
 
 
-def _explain(
+def _make_status_failure(
     plan: AttemptPlan,
     reason: Reason,
     status: int,
@@ -255,7 +269,7 @@
     )
 
 
-def _fail(
+def _make_error(
     plan: AttemptPlan,
     reason: Reason,
     error: Exception,
--- a/packages/ragworthollow-daemon/src/ragworthollow_daemon/gateway/attempt_series.py
+++ b/packages/ragworthollow-daemon/src/ragworthollow_daemon/gateway/attempt_series.py
@@ -1,4 +1,4 @@
-"""Decide which attempts of one request are made."""
+"""Decide which attempts are made for a request."""
 
 import asyncio
 from collections.abc import Iterator
@@ -18,7 +18,7 @@
     choose_upstream,
 )
 from ragworthollow.utils import get_monotonic_ms
-from ragworthollow_daemon.gateway.attempt import AttemptPlan, UpstreamAnswer
+from ragworthollow_daemon.gateway.attempt import AttemptPlan, UpstreamResponse
 from ragworthollow_daemon.gateway.context import GatewayContext
 from ragworthollow_daemon.gateway.pool_throttle import PoolThrottle
 from ragworthollow_daemon.gateway.request_job import RequestJob
@@ -26,9 +26,10 @@
 
 _STEP = 'forward'
 _SERVER_ERROR = 500
-# Failures that speak of the instance, not of the request: a short time limit
-# or an error of its own says nothing of how the next request would fare.
-_SUSPICIOUS = frozenset(
+# Failures that indicate a problem of the instance rather than of the request.
+# A short time limit or an error response does not predict whether the next
+# request to the instance would fail.
+_SUSPECT_REASONS = frozenset(
     (
         Reason.connect_failed,
         Reason.connection_lost,
@@ -40,22 +41,22 @@
 )
 
 # Failures that a crash of the instance would cause.
-_BREAKS = frozenset((Reason.connection_lost, Reason.truncated))
-_SUCCESS = range(200, 300)
+_CONNECTION_LOSS_REASONS = frozenset((Reason.connection_lost, Reason.truncated))
+_SUCCESS_STATUSES = range(200, 300)
 
-Forwarded = Result[web.StreamResponse, UpstreamFailure]
+ForwardResult = Result[web.StreamResponse, UpstreamFailure]
 
 
 class AttemptSeries:
     """
-    Hold the attempts of one request, and decide on the next.
+    Track the attempts of one request and plan the next one.
 
     Parameters
     ----------
     context : GatewayContext
-        Of this process.
+        State of this gateway.
     job : RequestJob
-        The request.
+        Request to answer.
     inputs : tuple of str
         Handles of its stage results.
     """
@@ -71,26 +72,26 @@
         self._context = context
         self._inputs = inputs
         self._throttle = PoolThrottle(context=context, pool=job.pool)
-        self._homes = job.get_homes()
-        self._tried: set[str] = set()
-        self._sent = 0
+        self._allowed_regions = job.get_homes()
+        self._tried_instances: set[str] = set()
+        self._sent_attempts = 0
         self._may_have_run = False
-        self._last: UpstreamFailure | None = None
-        self._error_answer: UpstreamAnswer | None = None
+        self._last_failure: UpstreamFailure | None = None
+        self._error_response: UpstreamResponse | None = None
 
-    def choose(self) -> UpstreamInstance | None:
+    def choose_instance(self) -> UpstreamInstance | None:
         """Choose the instance for the next attempt."""
         context = self._context
         return choose_upstream(
             [
-                one
-                for one in self._throttle.get_ready()
-                if may_run_in(one.region, self._homes)
+                instance
+                for instance in self._throttle.get_ready()
+                if may_run_in(instance.region, self._allowed_regions)
             ],
             context.book,
             UpstreamWish(
                 affinity_key=self.job.terms.get_affinity_key(),
-                avoid=frozenset(self._tried),
+                avoid=frozenset(self._tried_instances),
                 failure_domain=context.settings.failure_domain,
             ),
             get_monotonic_ms(),
@@ -101,17 +102,22 @@
         self,
         last_event_id: str = '',
     ) -> Result[AttemptPlan, UpstreamFailure]:
-        """Choose the next attempt, or say why there is none."""
-        stop = self._find_quarantine() or self._find_stop()
-        if stop is not None:
-            return Err(stop)
+        """Plan the next attempt, or return why none may be made."""
+        failure = (
+            self._find_quarantine_failure() or self._find_terminal_failure()
+        )
+        if failure is not None:
+            return Err(failure)
         context = self._context
-        instance = self.choose()
+        instance = self.choose_instance()
         if instance is None:
-            return Err(self._explain_absence())
-        if self._sent and not context.get_budget(self.job.pool).spend():
+            return Err(self._explain_no_instance())
+        if (
+            self._sent_attempts
+            and not context.get_budget(self.job.pool).spend()
+        ):
             context.metrics.count_retry(self.job.pool, 'budget_spent')
-            return Err(self._last)
+            return Err(self._last_failure)
         self._context.monitor.require(
             holds=self.job.route.is_idempotent() or not self._may_have_run,
             invariant='attempt.single_run',
@@ -119,7 +125,7 @@
             peer=instance.instance,
             detail=self.job.terms.request_id,
         )
-        self._tried.add(instance.instance)
+        self._tried_instances.add(instance.instance)
         self._throttle.note_sent(instance)
         return Ok(
             AttemptPlan(
@@ -131,68 +137,70 @@
         )
 
     @contextmanager
-    def occupy(self, instance: UpstreamInstance) -> Iterator[None]:
-        """Count the attempt at its instance while it runs."""
+    def track_in_flight(self, instance: UpstreamInstance) -> Iterator[None]:
+        """Count the attempt as in flight at its instance while it runs."""
         record = self._context.book.get(instance.instance)
         record.in_flight += 1
-        self._sent += 1
+        self._sent_attempts += 1
         try:
             yield
         finally:
             record.in_flight -= 1
 
     def is_final(self, status: int) -> bool:
-        """Tell whether an answer is passed on rather than tried again."""
+        """Return whether a response is passed on instead of retried."""
         if status < _SERVER_ERROR or not self.job.route.is_idempotent():
             return True
-        return self._sent >= self.job.route.max_attempts
+        return self._sent_attempts >= self.job.route.max_attempts
 
-    def note_answer(self, plan: AttemptPlan, status: int) -> None:
-        """Note an answer that is passed on."""
+    def record_response(self, plan: AttemptPlan, status: int) -> None:
+        """Record a response that is passed on to the caller."""
         self._context.book.note_success(plan.instance.instance)
-        if status in _SUCCESS:
-            self._context.quarantine.note_good_end(self.job.fingerprint)
+        if status in _SUCCESS_STATUSES:
+            self._context.quarantine.record_success(self.job.fingerprint)
         late_ms = get_monotonic_ms() - self.job.get_goal_ms()
         self._log(plan, 'answered', status=status, late_ms=round(late_ms))
 
-    def note_error_answer(
+    def record_error_response(
         self,
         plan: AttemptPlan,
-        answer: UpstreamAnswer,
+        response: UpstreamResponse,
     ) -> None:
-        """Note an upstream's own error where another attempt may follow."""
-        self._error_answer = answer
-        self.note_failure(
+        """Record an upstream error response that may be retried."""
+        self._error_response = response
+        self.record_failure(
             plan,
             UpstreamFailure(
                 outcome=Outcome.failed,
                 reason=Reason.upstream_error,
                 step=_STEP,
                 peer=plan.instance.instance,
-                detail=f'status {answer.status}',
+                detail=f'status {response.status}',
             ),
         )
 
-    def note_failure(self, plan: AttemptPlan, failure: UpstreamFailure) -> None:
-        """Note an attempt without an answer."""
+    def record_failure(
+        self, plan: AttemptPlan, failure: UpstreamFailure
+    ) -> None:
+        """Record a failed attempt."""
         self._context.metrics.count_attempt(
             self.job.pool,
             failure.outcome,
             failure.reason,
         )
-        if failure.reason in _SUSPICIOUS:
+        if failure.reason in _SUSPECT_REASONS:
             self._context.suspect(plan.instance)
-        if failure.reason in _BREAKS:
-            self._context.quarantine.note_break(
+        if failure.reason in _CONNECTION_LOSS_REASONS:
+            self._context.quarantine.record_connection_loss(
                 plan.instance,
                 (self.job.fingerprint,),
             )
         if failure.reason is Reason.connect_failed:
-            # Nothing was sent, so the upstream does not count it.
-            self._sent -= 1
+            # Nothing was sent, so the upstream does not count this attempt.
+            self._sent_attempts -= 1
         if failure.outcome is not Outcome.not_run:
             self._may_have_run = True
-        self._last = self._widen(failure)
+        self._last_failure = self._adjust_outcome(failure)
         self._log(
             plan,
             'attempt_failed',
@@ -201,86 +209,90 @@
             detail=failure.detail,
         )
 
-    async def settle(self, plan: AttemptPlan) -> None:
-        """Wait for the crash check of an attempt if another may follow."""
-        if self._find_stop() is None:
-            await self._context.quarantine.settle(plan.instance)
+    async def wait_for_crash_check(self, plan: AttemptPlan) -> None:
+        """Wait for the crash check of an attempt if a retry may follow."""
+        if self._find_terminal_failure() is None:
+            await self._context.quarantine.wait_for_crash_check(plan.instance)
 
-    def give_up(self, failure: UpstreamFailure) -> Forwarded:
+    def abort(self, failure: UpstreamFailure) -> ForwardResult:
         """
-        End without a success.
+        End the request without a successful response.
 
-        An error that an upstream has signed says more than one of ours, and
-        is the caller's to read.
+        An error response that an upstream has signed is more informative than
+        one generated here, so it is passed on to the caller if there is one.
         """
-        if self._error_answer is None:
+        if self._error_response is None:
             return Err(failure)
-        return Ok(render_answer(self._error_answer))
+        return Ok(render_response(self._error_response))
 
-    async def wait_throttled(self) -> None:
+    async def wait_while_throttled(self) -> None:
         """
-        Wait for a throttled instance, after stage work has been done.
+        Wait while all instances are throttled, if stage work has been done.
 
-        The work would be thrown away otherwise; a caller for whom nothing was
-        done yet is told at once when to come back.
+        That work would be wasted otherwise.  A request without any work done
+        is refused at once, with the time after which to retry.
         """
-        if not self._inputs or self._sent:
+        if not self._inputs or self._sent_attempts:
             return
-        while self.choose() is None:
-            wait_ms = self._throttle.get_pool_wait_ms(self._tried)
-            left_ms = self.job.get_goal_ms() - get_monotonic_ms()
-            if not wait_ms or wait_ms > left_ms:
+        while self.choose_instance() is None:
+            wait_ms = self._throttle.get_pool_wait_ms(self._tried_instances)
+            remaining_ms = self.job.get_goal_ms() - get_monotonic_ms()
+            if not wait_ms or wait_ms > remaining_ms:
                 return
             await asyncio.sleep(wait_ms / 1000)
 
-    def _explain_absence(self) -> UpstreamFailure:
+    def _explain_no_instance(self) -> UpstreamFailure:
         pause_ms = self._context.directory.get_pool_pause_ms(self.job.pool)
         if pause_ms:
             return self._make_failure(Reason.upstream_paused, pause_ms)
-        throttled = self._throttle.find_refusal(self._tried)
-        if throttled is not None:
+        refusal = self._throttle.find_refusal(self._tried_instances)
+        if refusal is not None:
             return self._make_failure(
-                throttled.reason,
-                throttled.retry_after_ms,
+                refusal.reason,
+                refusal.retry_after_ms,
             )
-        if self._last is not None:
-            return self._last
+        if self._last_failure is not None:
+            return self._last_failure
         if self._context.directory.is_pool_drained(self.job.pool):
             return self._make_failure(Reason.domain_drained)
         return self._make_failure(Reason.no_instance)
 
-    def _find_quarantine(self) -> UpstreamFailure | None:
-        left_ms = self._context.quarantine.get_left_ms(self.job.fingerprint)
-        if not left_ms:
+    def _find_quarantine_failure(self) -> UpstreamFailure | None:
+        remaining_ms = self._context.quarantine.get_left_ms(
+            self.job.fingerprint
+        )
+        if not remaining_ms:
             return None
-        return self._make_failure(Reason.quarantined, left_ms)
+        return self._make_failure(Reason.quarantined, remaining_ms)
 
-    def _find_stop(self) -> UpstreamFailure | None:
+    def _find_terminal_failure(self) -> UpstreamFailure | None:
         job = self.job
         if job.get_remaining_ms() <= 0:
-            return self._last or self._make_failure(Reason.deadline_exceeded)
-        if self._last is None:
+            return self._last_failure or self._make_failure(
+                Reason.deadline_exceeded
+            )
+        if self._last_failure is None:
             return None
         if self._may_have_run and not job.route.is_idempotent():
-            return self._last
-        if self._sent >= job.route.max_attempts:
-            return self._last
-        if self._last.reason is Reason.inputs_gone:
-            return self._last
+            return self._last_failure
+        if self._sent_attempts >= job.route.max_attempts:
+            return self._last_failure
+        if self._last_failure.reason is Reason.inputs_gone:
+            return self._last_failure
         return None
 
     def _get_timeout_ms(self) -> float:
         remaining_ms = max(1, self.job.get_remaining_ms())
-        can_follow = (
+        may_retry = (
             self.job.route.is_idempotent()
-            and self._sent + 1 < self.job.route.max_attempts
+            and self._sent_attempts + 1 < self.job.route.max_attempts
         )
-        if can_follow:
+        if may_retry:
             return remaining_ms * global_settings.ATTEMPT_TIME_SHARE
         return remaining_ms
 
-    def _widen(self, failure: UpstreamFailure) -> UpstreamFailure:
-        """Let a refusal say `not_run` only when no attempt may have run."""
+    def _adjust_outcome(self, failure: UpstreamFailure) -> UpstreamFailure:
+        """Report `not_run` only if no earlier attempt may have run."""
         if not self._may_have_run or failure.outcome is not Outcome.not_run:
             return failure
         return UpstreamFailure(
@@ -316,7 +328,7 @@
             peer=plan.instance.instance,
             failure_domain=plan.instance.failure_domain,
             pool=self.job.pool,
-            attempt=self._sent,
+            attempt=self._sent_attempts,
             in_flight=record.in_flight,
             left_ms=round(self.job.get_remaining_ms()),
             list_age_ms=round(
@@ -326,10 +338,10 @@
         )
 
 
-def render_answer(answer: UpstreamAnswer) -> web.Response:
-    """Make the answer to a caller out of an upstream's."""
+def render_response(response: UpstreamResponse) -> web.Response:
+    """Convert an upstream response into the response to the caller."""
     return web.Response(
-        status=answer.status,
-        headers=make_caller_headers(answer.headers),
-        body=answer.body,
+        status=response.status,
+        headers=make_caller_headers(response.headers),
+        body=response.body,
     )
--- a/packages/ragworthollow-daemon/src/ragworthollow_daemon/gateway/call_outcomes.py
+++ b/packages/ragworthollow-daemon/src/ragworthollow_daemon/gateway/call_outcomes.py
@@ -1,4 +1,4 @@
-"""Decide what follows when a call for pieces ends, or is slow."""
+"""Handle the end of a call for pieces, or a slow one."""
 
 from collections.abc import Callable, Sequence
 
@@ -18,21 +18,21 @@
 from ragworthollow_daemon.gateway.upstream_failure import UpstreamFailure
 
 _STEP = 'pieces'
-_FAILED = PieceResult(outcome=PieceOutcome.failed)
+_FAILED_RESULT = PieceResult(outcome=PieceOutcome.failed)
 
-Found = tuple[PieceResult, ...]
+PieceResults = tuple[PieceResult, ...]
 
 
 class CallOutcomes:
     """
-    Hand results over, and have the other pieces of a call made again.
+    Deliver the results of calls, and retry pieces without a result.
 
     Parameters
     ----------
     context : GatewayContext
-        Of this process.
+        State of this gateway.
     free : callable
-        Gives results up that nobody wants.
+        Releases results that nobody awaits, given a pool and their handles.
     """
 
     def __init__(
@@ -42,50 +42,59 @@
         free: Callable[[str, Sequence[str]], None],
     ) -> None:
         self._context = context
-        self._free = free
-        self._space = CallSpace(context=context)
+        self._release = free
+        self._space_recorder = CallSpace(context=context)
 
     def note_results(
         self,
         pool: str,
-        gate: PieceGate,
+        scheduler: PieceGate,
         call: PieceCall,
-        found: Found,
+        results: PieceResults,
     ) -> None:
-        """Take the answer to a call."""
+        """Record the results of a call and resolve its pieces."""
         now_ms = get_monotonic_ms()
-        self._note_trust(call, now_ms)
+        self._record_success_unless_slow(call, now_ms)
         self._context.metrics.latency.record(
             f'pieces/{pool}',
             now_ms - call.started_ms,
         )
-        self._space.note_results(pool, gate, call, found)
-        for waiting, piece_result in zip(call.waiting, found, strict=True):
-            self._settle(pool, gate, call, waiting, piece_result)
-        self._log(pool, gate, call, 'pieces_done', outcomes=_count(found))
+        self._space_recorder.note_results(pool, scheduler, call, results)
+        for waiting, piece_result in zip(call.waiting, results, strict=True):
+            self._resolve(pool, scheduler, call, waiting, piece_result)
+        self._log(
+            pool,
+            scheduler,
+            call,
+            'pieces_done',
+            outcomes=_count_outcomes(results),
+        )
 
-    def _note_trust(self, call: PieceCall, now_ms: float) -> None:
+    def _record_success_unless_slow(
+        self, call: PieceCall, now_ms: float
+    ) -> None:
         """
-        Trust an instance again, unless the call was a slow one.
+        Clear the suspicion against an instance unless the call was slow.
 
-        An instance at a fifth of its speed ends every call well.  Trusted for
-        that, it got the next full call as soon as it had ended one, and every
-        piece of it missed its objective.
+        An instance at a fifth of its speed completes every call.  When that
+        sufficed to trust it, it got another full call as soon as it had
+        completed one, and all pieces of that call missed their objectives.
         """
-        took_ms = now_ms - call.started_ms
-        patience_ms = call.expected_ms * global_settings.PIECE_CALL_PATIENCE
-        if took_ms <= patience_ms:
+        duration_ms = now_ms - call.started_ms
+        slow_after_ms = call.expected_ms * global_settings.PIECE_CALL_PATIENCE
+        if duration_ms <= slow_after_ms:
             self._context.book.note_success(call.instance.instance)
 
     async def settle(self, call: PieceCall, failure: UpstreamFailure) -> None:
         """
         Wait for the crash check of the instance of a failed call.
 
-        Pieces that are queued again before it could crash the next instance.
+        A piece that crashed the instance would crash the next one if it were
+        queued again before the check has ended.
         """
         if failure.reason is not Reason.connection_lost:
             return
-        self._context.quarantine.note_break(
+        self._context.quarantine.record_connection_loss(
             call.instance,
             {
                 waiting.piece.fingerprint
@@ -93,45 +102,48 @@
                 if waiting.piece.fingerprint
             },
         )
-        await self._context.quarantine.settle(call.instance)
+        await self._context.quarantine.wait_for_crash_check(call.instance)
 
     def note_failure(
         self,
         pool: str,
-        gate: PieceGate,
+        scheduler: PieceGate,
         call: PieceCall,
         failure: UpstreamFailure,
     ) -> None:
         """
-        Take it that a call has ended without an answer.
+        Record that a call has ended without a response.
 
-        A lost answer says nothing of its instance, but that its results take
-        space there under names that nobody knows.
+        A lost response is no evidence against its instance.  However, the
+        results still take space there, under handles that are not known here.
         """
-        self._note_attempt(pool, gate, call, failure)
+        self._record_failed_call(pool, scheduler, call, failure)
         if failure.reason is Reason.answer_lost:
-            self._space.note_lost(pool, gate, call)
+            self._space_recorder.note_lost(pool, scheduler, call)
         else:
             self._context.suspect(call.instance)
-        is_free = failure.reason is Reason.connect_failed
+        # Nothing was sent, so the retry is not charged to the retry budget.
+        is_budget_exempt = failure.reason is Reason.connect_failed
         for waiting in call.waiting:
             if not waiting.is_wanted or waiting in call.passed_on:
                 continue
-            if is_free:
-                gate.resubmit(
+            if is_budget_exempt:
+                scheduler.resubmit(
                     waiting,
                     call.instance.instance,
                     self._context.directory.get_pool(pool),
                 )
             else:
-                self._retry(pool, gate, call, waiting, _FAILED)
+                self._retry(pool, scheduler, call, waiting, _FAILED_RESULT)
 
-    def note_slow(self, pool: str, gate: PieceGate, call: PieceCall) -> None:
+    def note_slow(
+        self, pool: str, scheduler: PieceGate, call: PieceCall
+    ) -> None:
         """
-        Try the pieces of a call that is slow elsewhere as well.
+        Hedge the pieces of a slow call at other instances.
 
-        Those that the retry budget does not cover keep waiting for the call:
-        it is worked on, and most slow calls end with their results.
+        Pieces that the retry budget does not cover keep waiting for the call:
+        it is still in progress, and most slow calls end with their results.
         """
         failure = UpstreamFailure(
             outcome=Outcome.unknown,
@@ -141,76 +153,77 @@
             detail='slower than expected; left running',
         )
         self._context.suspect(call.instance)
-        self._note_attempt(pool, gate, call, failure)
+        self._record_failed_call(pool, scheduler, call, failure)
         for waiting in call.waiting:
-            if not waiting.is_wanted or not self._may_be_made_again(waiting):
+            if not waiting.is_wanted or not self._may_retry(waiting):
                 continue
             if self._context.get_budget(pool).spend():
                 self._context.metrics.count_retry(pool, 'slow_piece')
                 call.passed_on.add(waiting)
-                gate.resubmit(
+                scheduler.resubmit(
                     waiting,
                     call.instance.instance,
                     self._context.directory.get_pool(pool),
                 )
 
-    def _settle(
+    def _resolve(
         self,
         pool: str,
-        gate: PieceGate,
+        scheduler: PieceGate,
         call: PieceCall,
         waiting: WaitingPiece,
         piece_result: PieceResult,
     ) -> None:
         if not waiting.is_wanted:
             if piece_result.handle:
-                self._free(pool, (piece_result.handle,))
+                self._release(pool, (piece_result.handle,))
             return
         if piece_result.outcome is PieceOutcome.done:
             waiting.settle(piece_result)
         elif waiting in call.passed_on:
-            # The other call that it is part of decides.
+            # The other call that contains the piece decides its outcome.
             return
         elif piece_result.outcome is PieceOutcome.no_room:
-            # It was not worked on: no attempt, but an arrival to be paid.
+            # The piece did not run, so this does not count as an attempt.  It
+            # arrives at an instance once more, which the retry budget pays.
             waiting.attempts -= 1
-            self._retry(pool, gate, call, waiting, piece_result)
+            self._retry(pool, scheduler, call, waiting, piece_result)
         elif piece_result.outcome is PieceOutcome.failed:
-            self._retry(pool, gate, call, waiting, piece_result)
+            self._retry(pool, scheduler, call, waiting, piece_result)
         else:
             waiting.settle(piece_result)
 
     def _retry(
         self,
         pool: str,
-        gate: PieceGate,
+        scheduler: PieceGate,
         call: PieceCall,
         waiting: WaitingPiece,
-        last: PieceResult,
+        last_result: PieceResult,
     ) -> None:
-        """Queue a piece again where attempts and budget allow it."""
-        may_follow = self._may_be_made_again(waiting)
-        if may_follow and self._context.get_budget(pool).spend():
+        """Queue a piece again if its attempts and the retry budget allow it."""
+        may_retry = self._may_retry(waiting)
+        if may_retry and self._context.get_budget(pool).spend():
             self._context.metrics.count_retry(pool, 'piece')
-            gate.resubmit(
+            scheduler.resubmit(
                 waiting,
                 call.instance.instance,
                 self._context.directory.get_pool(pool),
             )
             return
-        if may_follow:
+        if may_retry:
             self._context.metrics.count_retry(pool, 'budget_spent')
-        waiting.settle(last)
+        waiting.settle(last_result)
 
-    def _may_be_made_again(self, waiting: WaitingPiece) -> bool:
+    def _may_retry(self, waiting: WaitingPiece) -> bool:
         if self._context.quarantine.get_left_ms(waiting.piece.fingerprint):
             return False
         return waiting.attempts + 1 < global_settings.PIECE_ATTEMPTS
 
-    def _note_attempt(
+    def _record_failed_call(
         self,
         pool: str,
-        gate: PieceGate,
+        scheduler: PieceGate,
         call: PieceCall,
         failure: UpstreamFailure,
     ) -> None:
@@ -221,7 +234,7 @@
         )
         self._log(
             pool,
-            gate,
+            scheduler,
             call,
             'piece_call_failed',
             reason=failure.reason,
@@ -231,7 +244,7 @@
     def _log(
         self,
         pool: str,
-        gate: PieceGate,
+        scheduler: PieceGate,
         call: PieceCall,
         event: str,
         **fields: object,
@@ -241,7 +254,9 @@
             step=_STEP,
             pool=pool,
             peer=call.instance.instance,
-            requests=sorted({one.piece.request_id for one in call.waiting}),
+            requests=sorted(
+                {waiting.piece.request_id for waiting in call.waiting}
+            ),
             pieces=len(call.waiting),
             failure_domain=call.instance.failure_domain,
             near=sum(
@@ -250,18 +265,18 @@
             ),
             limit=call.limit,
             left=call.left,
-            queued=gate.get_depth(),
+            queued=scheduler.get_depth(),
             expected_ms=round(call.expected_ms),
             took_ms=round(get_monotonic_ms() - call.started_ms),
-            room_bytes=gate.room.get_used(get_monotonic_ms()).get(
+            room_bytes=scheduler.room.get_used(get_monotonic_ms()).get(
                 call.instance.instance,
             ),
             **fields,
         )
 
 
-def _count(found: Found) -> dict[str, int]:
+def _count_outcomes(results: PieceResults) -> dict[str, int]:
     counts: dict[str, int] = {}
-    for one in found:
-        counts[one.outcome] = counts.get(one.outcome, 0) + 1
+    for result in results:
+        counts[result.outcome] = counts.get(result.outcome, 0) + 1
     return counts
--- a/packages/ragworthollow-daemon/src/ragworthollow_daemon/gateway/call_runner.py
+++ b/packages/ragworthollow-daemon/src/ragworthollow_daemon/gateway/call_runner.py
@@ -1,4 +1,4 @@
-"""Make calls for pieces and see each to its end."""
+"""Send calls for pieces and await their results."""
 
 import asyncio
 from collections.abc import Callable, Coroutine
@@ -13,25 +13,25 @@
 
 _STEP = 'pieces'
 
-Answered = Result[tuple[PieceResult, ...], UpstreamFailure]
+CallResult = Result[tuple[PieceResult, ...], UpstreamFailure]
 SendCall = Callable[
     [GatewayContext, PieceCall],
-    Coroutine[None, None, Answered],
+    Coroutine[None, None, CallResult],
 ]
 
 
 class CallRunner:
     """
-    Send calls, and give up those that no instance works on.
+    Send calls, and cancel those that no instance is working on.
 
     Parameters
     ----------
     context : GatewayContext
-        Of this process.
+        State of this gateway.
     send : callable
-        Makes one call and returns its results.
+        Sends one call and returns its results.
     ask : callable
-        Asks an instance whether it has any call in hand.
+        Queries whether an instance has any call in progress.
     """
 
     def __init__(
@@ -43,23 +43,23 @@
     ) -> None:
         self._context = context
         self._send = send
-        self._watch = CallWatch(context=context, ask=ask)
-        self._sending: dict[PieceCall, asyncio.Future[Answered]] = {}
+        self._monitor = CallWatch(context=context, ask=ask)
+        self._responses: dict[PieceCall, asyncio.Future[CallResult]] = {}
 
     async def run(
         self,
         call: PieceCall,
         on_slow: Callable[[], None],
-    ) -> Answered:
+    ) -> CallResult:
         """
-        Make one call.
+        Send a call and wait until it ends.
 
         Parameters
         ----------
         call : PieceCall
-            The call.
+            Call to send.
         on_slow : callable
-            Called once when the call is slow.
+            Called once if the call is slow.
 
         Returns
         -------
@@ -68,34 +68,34 @@
         """
         record = self._context.book.get(call.instance.instance)
         record.in_flight += 1
-        sending = asyncio.ensure_future(self._send(self._context, call))
-        self._sending[call] = sending
+        response = asyncio.ensure_future(self._send(self._context, call))
+        self._responses[call] = response
         try:
-            is_lost = await self._watch.follow(call, sending, on_slow)
+            is_lost = await self._monitor.follow(call, response, on_slow)
         finally:
-            self._sending.pop(call)
+            self._responses.pop(call)
             record.in_flight -= 1
         if is_lost:
-            sending.cancel()
-            return _give_up(call, Reason.answer_lost)
-        if sending.cancelled():
-            return _give_up(call, Reason.connection_lost)
-        return sending.result()
+            response.cancel()
+            return _make_error(call, Reason.answer_lost)
+        if response.cancelled():
+            return _make_error(call, Reason.connection_lost)
+        return response.result()
 
     def give_up(self, instance: str) -> None:
-        """End the calls to an instance that does not know them any more."""
-        for call, sending in self._sending.items():
+        """Cancel the calls to an instance that no longer knows them."""
+        for call, response in self._responses.items():
             if call.instance.instance == instance:
-                sending.cancel()
+                response.cancel()
 
 
-def _give_up(call: PieceCall, reason: Reason) -> Err[UpstreamFailure]:
+def _make_error(call: PieceCall, reason: Reason) -> Err[UpstreamFailure]:
     return Err(
         UpstreamFailure(
             outcome=Outcome.unknown,
             reason=reason,
             step=_STEP,
             peer=call.instance.instance,
-            detail='the instance does not work on the call',
+            detail='the instance is not working on the call',
         ),
     )
--- a/packages/ragworthollow-daemon/src/ragworthollow_daemon/gateway/call_watch.py
+++ b/packages/ragworthollow-daemon/src/ragworthollow_daemon/gateway/call_watch.py
@@ -1,4 +1,4 @@
-"""Follow calls for pieces that take longer than expected."""
+"""Monitor calls for pieces that take longer than expected."""
 
 import asyncio
 from collections.abc import Callable, Coroutine
@@ -31,13 +31,13 @@
     instance: UpstreamInstance,
 ) -> bool | None:
     """
-    Ask an instance whether it has any call in hand.
+    Query whether an instance has any call in progress.
 
     Returns
     -------
     bool or None
-        None when it does not say, has asked to be left alone, takes nothing
-        more now, or is in a failure domain that is drained.
+        None if the instance does not report it, has asked gateways to back
+        off, is throttled, or is in a drained failure domain.
     """
     directory = context.directory
     if directory.get_pause_left_ms(instance):
@@ -51,7 +51,7 @@
     )
     if not throttle.claim(instance):
         return None
-    asked_ms = get_boottime_ms()
+    sent_ms = get_boottime_ms()
     try:
         async with context.upstream_session.get(
             f'http://{instance.address}{REPORT_PATH}',
@@ -64,7 +64,7 @@
                 context,
                 instance,
                 read_marks(response.status, response.headers),
-                asked_ms=asked_ms,
+                asked_ms=sent_ms,
             )
             return decode_working(await response.read())
     except (
@@ -85,19 +85,19 @@
 
 class CallWatch:
     """
-    Find out whether a call that is overdue is slow or its answer lost.
+    Determine whether an overdue call is slow or its response was lost.
 
-    An answer may be lost while its connection stays open.  An instance works
-    on one call at a time, so that it would be left idle until the call runs
-    into its timeout, seconds later: one lost answer took a third of a pool's
-    capacity for six seconds, two of them two thirds.
+    A response may be lost while its connection stays open.  As an instance
+    works on one call at a time, it would then stay idle until the call times
+    out seconds later: one lost response took a third of a pool's capacity for
+    six seconds, and two of them two thirds.
 
     Parameters
     ----------
     context : GatewayContext
-        Of this process.
+        State of this gateway.
     ask : callable
-        Asks an instance whether it has any call in hand.
+        Queries whether an instance has any call in progress.
     """
 
     def __init__(
@@ -107,57 +107,59 @@
         ask: AskWorking = ask_working,
     ) -> None:
         self._context = context
-        self._ask = ask
+        self._query = ask
 
     async def follow(
         self,
         call: PieceCall,
-        sending: asyncio.Future,
+        response: asyncio.Future,
         on_slow: Callable[[], None],
     ) -> bool:
         """
-        Follow a call to its end.
+        Monitor a call until it ends.
 
         Parameters
         ----------
         call : PieceCall
-            The call.
-        sending : Future
-            Done when it is answered or has failed.
+            Call that has been sent.
+        response : Future
+            Done when the call has been answered or has failed.
         on_slow : callable
-            Called once when the call is slow.
+            Called once if the call is slow.
 
         Returns
         -------
         bool
-            Whether its answer is lost.
+            Whether the response was lost.
         """
         overdue_ms = call.expected_ms * global_settings.PIECE_CALL_OVERDUE
-        await asyncio.wait({sending}, timeout=overdue_ms / 1000)
+        await asyncio.wait({response}, timeout=overdue_ms / 1000)
         is_slow = False
-        while not sending.done():
-            if await self._is_lost(call, sending):
+        while not response.done():
+            if await self._is_response_lost(call, response):
                 return True
             if not is_slow and _is_slow(call):
                 is_slow = True
                 on_slow()
             await asyncio.wait(
-                {sending},
+                {response},
                 timeout=global_settings.PIECE_CALL_PROBE_MS / 1000,
             )
         return False
 
-    async def _is_lost(self, call: PieceCall, sending: asyncio.Future) -> bool:
-        is_working = await self._ask(self._context, call.instance)
+    async def _is_response_lost(
+        self, call: PieceCall, response: asyncio.Future
+    ) -> bool:
+        is_working = await self._query(self._context, call.instance)
         if is_working is not False:
             return False
         await asyncio.wait(
-            {sending},
+            {response},
             timeout=global_settings.PIECE_ANSWER_GRACE_MS / 1000,
         )
-        return not sending.done()
+        return not response.done()
 
 
 def _is_slow(call: PieceCall) -> bool:
-    took_ms = get_monotonic_ms() - call.started_ms
-    return took_ms >= call.expected_ms * global_settings.PIECE_CALL_PATIENCE
+    duration_ms = get_monotonic_ms() - call.started_ms
+    return duration_ms >= call.expected_ms * global_settings.PIECE_CALL_PATIENCE
--- a/packages/ragworthollow-daemon/src/ragworthollow_daemon/gateway/crash_watch.py
+++ b/packages/ragworthollow-daemon/src/ragworthollow_daemon/gateway/crash_watch.py
@@ -1,4 +1,4 @@
-"""Detect crashes of instances behind broken connections."""
+"""Detect instance crashes after connection losses."""
 
 import asyncio
 from collections.abc import Callable, Coroutine, Iterable
@@ -19,22 +19,23 @@
     """
     Report which requests were running on an instance when it crashed.
 
-    A connection may break because its instance crashed, or because one answer
-    was cut, a link was reset or an instance ended as planned.  Only after a
-    crash does nothing listen at the address of an instance that is listed and
-    has not said that it leaves.
+    A connection may be lost because its instance crashed, but also because a
+    response was truncated, a link was reset or an instance shut down as
+    planned.  Only after a crash does nothing listen at the address of an
+    instance that is listed and has not announced its shutdown.
 
     Parameters
     ----------
     directory : Directory
-        The instances that may get work.
+        Instances that may get work.
     metrics : Metrics
-        Of this process.
+        Metrics of this process.
     spawn : callable
         Runs a task that outlives the request that caused it.
     on_crash : callable
-        Called with the incarnation that crashed and what was running there;
-        again when more of it becomes known.
+        Called with the crashed incarnation and the fingerprints of the
+        requests that were running there; called again with those that become
+        known later.
     """
 
     def __init__(
@@ -49,9 +50,9 @@
         self._metrics = metrics
         self._spawn = spawn
         self._on_crash = on_crash
-        self._running: dict[str, set[str]] = {}
+        self._running_requests: dict[str, set[str]] = {}
         self._probes: dict[str, asyncio.Task[None]] = {}
-        self._crashed: dict[str, float] = {}
+        self._crash_times_ms: dict[str, float] = {}
 
     def note_break(
         self,
@@ -59,28 +60,30 @@
         fingerprints: Iterable[str],
     ) -> None:
         """
-        Take it that the connection of a request to an instance broke.
+        Record that a connection with running requests was lost.
 
         Parameters
         ----------
         instance : UpstreamInstance
-            Where it was running.
+            Instance at the other end of the connection.
         fingerprints : iterable of str
-            What was running on that connection.
+            Fingerprints of the requests that were running on it.
         """
         listed = self._directory.get(instance.instance)
         if listed is None or not listed.is_same_incarnation(instance):
             return
         incarnation = instance.get_incarnation()
-        if incarnation in self._crashed:
+        if incarnation in self._crash_times_ms:
             self._on_crash(incarnation, fingerprints)
             return
-        self._running.setdefault(incarnation, set()).update(fingerprints)
+        self._running_requests.setdefault(incarnation, set()).update(
+            fingerprints
+        )
         if incarnation not in self._probes:
             self._probes[incarnation] = self._spawn(self._probe(instance))
 
     async def settle(self, instance: UpstreamInstance) -> None:
-        """Wait until it is known whether an instance has crashed."""
+        """Wait until the running check of an instance, if any, has ended."""
         probe = self._probes.get(instance.get_incarnation())
         if probe is not None:
             await asyncio.wait((probe,))
@@ -88,20 +91,20 @@
     async def _probe(self, instance: UpstreamInstance) -> None:
         incarnation = instance.get_incarnation()
         try:
-            has_crashed = await _is_refused(instance.address)
+            has_crashed = await _is_connection_refused(instance.address)
         finally:
-            running = self._running.pop(incarnation)
+            running = self._running_requests.pop(incarnation)
             self._probes.pop(incarnation)
         if not has_crashed:
             self._metrics.count_event('connection_broken')
             return
         now_ms = get_boottime_ms()
-        self._crashed = {
-            earlier: at_ms
-            for earlier, at_ms in self._crashed.items()
+        self._crash_times_ms = {
+            crashed: at_ms
+            for crashed, at_ms in self._crash_times_ms.items()
             if at_ms > now_ms - global_settings.CRASH_MEMORY_MS
         }
-        self._crashed[incarnation] = now_ms
+        self._crash_times_ms[incarnation] = now_ms
         self._metrics.count_event('upstream_crashed')
         log_event(
             'upstream_crashed',
@@ -114,11 +117,11 @@
         self._on_crash(incarnation, running)
 
 
-async def _is_refused(address: str) -> bool:
+async def _is_connection_refused(address: str) -> bool:
     """
-    Tell whether nothing listens at an address.
+    Return whether a connection to an address is refused.
 
-    One that does not answer may be frozen or cut off, and says nothing.
+    A timeout is inconclusive: the instance may be frozen or unreachable.
     """
     host, _, port = address.rpartition(':')
     timeout_s = global_settings.UPSTREAM_CONNECT_TIMEOUT_MS / _MILLISECONDS
--- /dev/null
+++ b/packages/ragworthollow-daemon/src/ragworthollow_daemon/gateway/event_buffer.py
@@ -0,0 +1,51 @@
+"""Split an event stream into complete events."""
+
+_SEPARATOR = b'\n\n'
+_ID_FIELD = b'id:'
+
+
+class EventBuffer:
+    """
+    Buffer received bytes and return complete events only.
+
+    An upstream may disconnect in the middle of an event.  A caller that has
+    received part of an event could not resume at another upstream, since
+    event ids identify complete events.
+    """
+
+    def __init__(self) -> None:
+        self._incomplete = b''
+        self.last_event_id = ''
+
+    def feed(self, chunk: bytes) -> bytes:
+        """
+        Add received bytes.
+
+        Returns
+        -------
+        bytes
+            The events that are complete now, unchanged; may be empty.
+        """
+        data = self._incomplete + chunk
+        end = data.rfind(_SEPARATOR)
+        if end < 0:
+            self._incomplete = data
+            return b''
+        end += len(_SEPARATOR)
+        self._incomplete = data[end:]
+        complete = data[:end]
+        self._record_last_id(complete)
+        return complete
+
+    def pop_incomplete(self) -> bytes:
+        """Remove and return the bytes of an incomplete event."""
+        incomplete = self._incomplete
+        self._incomplete = b''
+        return incomplete
+
+    def _record_last_id(self, complete: bytes) -> None:
+        for line in reversed(complete.split(b'\n')):
+            if line.startswith(_ID_FIELD):
+                event_id = line[len(_ID_FIELD) :].strip()
+                self.last_event_id = event_id.decode('latin-1')
+                return
--- a/packages/ragworthollow-daemon/src/ragworthollow_daemon/gateway/forwarder.py
+++ b/packages/ragworthollow-daemon/src/ragworthollow_daemon/gateway/forwarder.py
@@ -1,4 +1,4 @@
-"""Find the upstream instance that answers a request."""
+"""Forward requests to upstream instances until one responds."""
 
 import asyncio
 from collections.abc import Callable
@@ -12,15 +12,15 @@
 from ragworthollow_daemon.gateway.answer_progress import AnswerProgress
 from ragworthollow_daemon.gateway.attempt import (
     AttemptPlan,
-    Opened,
-    UpstreamAnswer,
-    fetch_answer,
-    open_answer,
+    OpenResult,
+    UpstreamResponse,
+    fetch_response,
+    open_response,
 )
 from ragworthollow_daemon.gateway.attempt_series import (
     AttemptSeries,
-    Forwarded,
-    render_answer,
+    ForwardResult,
+    render_response,
 )
 from ragworthollow_daemon.gateway.context import GatewayContext
 from ragworthollow_daemon.gateway.request_job import RequestJob
@@ -29,26 +29,26 @@
 
 _STEP = 'forward'
 _SERVER_ERROR = 500
-_SUCCESS = range(200, 300)
+_SUCCESS_STATUSES = range(200, 300)
 
 
 class Forwarder:
     """
-    Make attempts until one answers or nothing more may be tried.
+    Make attempts until one gets a response or no further one is allowed.
 
     Parameters
     ----------
     context : GatewayContext
-        Of this process.
+        State of this gateway.
     """
 
     def __init__(self, *, context: GatewayContext) -> None:
         self._context = context
 
     def expect_failure_domain(self, job: RequestJob) -> str:
-        """Return where a request would run now; empty without instances."""
+        """Return the failure domain for a request now; empty if no instance."""
         series = AttemptSeries(context=self._context, job=job, inputs=())
-        instance = series.choose()
+        instance = series.choose_instance()
         return '' if instance is None else instance.failure_domain
 
     async def forward(
@@ -57,25 +57,27 @@
         inputs: tuple[str, ...],
         on_inputs_read: Callable[[], None],
         progress: AnswerProgress,
-    ) -> Forwarded:
+    ) -> ForwardResult:
         """
-        Answer one request.
+        Forward a request and return the response to its caller.
 
         Parameters
         ----------
         job : RequestJob
-            The request.
+            Request to answer.
         inputs : tuple of str
             Handles of its stage results.
         on_inputs_read : callable
-            Called once the upstream has read them.
+            Called when the upstream should have read the inputs; may be called
+            more than once.
         progress : AnswerProgress
-            Told when the answer has begun.
+            Updated with the current attempt and the start of the response.
 
         Returns
         -------
         Result
-            The answer, ended or ready to be sent, or why there is none.
+            The response, either finished or ready to be sent, or why there is
+            none.
         """
         self._context.get_budget(job.pool).earn()
         series = AttemptSeries(context=self._context, job=job, inputs=inputs)
@@ -87,150 +89,159 @@
         self,
         series: AttemptSeries,
         progress: AnswerProgress,
-    ) -> Forwarded:
+    ) -> ForwardResult:
         job = series.job
         while True:
-            await series.wait_throttled()
+            await series.wait_while_throttled()
             planned = series.plan_next()
             if isinstance(planned, Err):
-                return series.give_up(planned.err_value)
+                return series.abort(planned.err_value)
             plan = planned.ok_value
             progress.step = _STEP
             progress.peer = plan.instance.instance
-            with series.occupy(plan.instance):
-                answered = await fetch_answer(self._context, job, plan)
-            if isinstance(answered, Err):
-                series.note_failure(plan, answered.err_value)
-            elif series.is_final(answered.ok_value.status):
-                series.note_answer(plan, answered.ok_value.status)
-                return Ok(render_answer(answered.ok_value))
+            with series.track_in_flight(plan.instance):
+                fetched = await fetch_response(self._context, job, plan)
+            if isinstance(fetched, Err):
+                series.record_failure(plan, fetched.err_value)
+            elif series.is_final(fetched.ok_value.status):
+                series.record_response(plan, fetched.ok_value.status)
+                return Ok(render_response(fetched.ok_value))
             else:
-                series.note_error_answer(plan, answered.ok_value)
-            await series.settle(plan)
+                series.record_error_response(plan, fetched.ok_value)
+            await series.wait_for_crash_check(plan)
 
     async def _relay(
         self,
         series: AttemptSeries,
         on_inputs_read: Callable[[], None],
         progress: AnswerProgress,
-    ) -> Forwarded:
+    ) -> ForwardResult:
         relay = StreamRelay(
             job=series.job,
             progress=progress,
             is_draining=lambda: self._context.drain.is_draining,
         )
         while True:
-            await series.wait_throttled()
+            await series.wait_while_throttled()
             planned = series.plan_next(relay.get_last_event_id())
             if isinstance(planned, Err):
                 if relay.is_started():
                     raise relay.abort(planned.err_value)
-                return series.give_up(planned.err_value)
+                return series.abort(planned.err_value)
             plan = planned.ok_value
             progress.step = _STEP
             progress.peer = plan.instance.instance
-            with series.occupy(plan.instance):
-                done = await self._relay_once(
+            with series.track_in_flight(plan.instance):
+                response = await self._relay_attempt(
                     series, plan, relay, on_inputs_read
                 )
-            if done is not None:
-                return Ok(done)
-            await series.settle(plan)
+            if response is not None:
+                return Ok(response)
+            await series.wait_for_crash_check(plan)
 
-    async def _relay_once(
+    async def _relay_attempt(
         self,
         series: AttemptSeries,
         plan: AttemptPlan,
         relay: StreamRelay,
         on_inputs_read: Callable[[], None],
     ) -> web.StreamResponse | None:
-        on_first_event = self._watch_first_event(series.job, on_inputs_read)
-        opened = await self._open_reading(series, plan, on_inputs_read)
+        on_first_event = self._make_first_event_callback(
+            series.job, on_inputs_read
+        )
+        opened = await self._open_and_release_inputs(
+            series, plan, on_inputs_read
+        )
         if isinstance(opened, Err):
-            series.note_failure(plan, opened.err_value)
+            series.record_failure(plan, opened.err_value)
             return None
         upstream = opened.ok_value
         try:
-            if upstream.status not in _SUCCESS:
-                return await self._pass_error(series, plan, relay, upstream)
+            if upstream.status not in _SUCCESS_STATUSES:
+                return await self._pass_error_response(
+                    series, plan, relay, upstream
+                )
             await relay.start(upstream)
-            await relay.pump(upstream, on_first_event)
+            await relay.relay_events(upstream, on_first_event)
         except (TimeoutError, ClientError) as error:
-            series.note_failure(plan, _explain_break(plan, error))
+            series.record_failure(plan, _make_truncation_failure(plan, error))
             return None
         finally:
             upstream.close()
-        series.note_answer(plan, upstream.status)
+        series.record_response(plan, upstream.status)
         return await relay.finish()
 
-    def _watch_first_event(
+    def _make_first_event_callback(
         self,
         job: RequestJob,
         on_inputs_read: Callable[[], None],
     ) -> Callable[[], None]:
-        """Note how long the first event takes from now."""
+        """Make a callback that records the latency of the first event."""
         sent_ms = get_monotonic_ms()
-        is_noted = False
+        is_recorded = False
 
-        def note_event() -> None:
-            nonlocal is_noted
-            if not is_noted:
-                is_noted = True
+        def record_event() -> None:
+            nonlocal is_recorded
+            if not is_recorded:
+                is_recorded = True
                 self._context.get_answer_time(job.pool).note(
                     job.terms.prompt_tokens,
                     get_monotonic_ms() - sent_ms,
                 )
             on_inputs_read()
 
-        return note_event
+        return record_event
 
-    async def _open_reading(
+    async def _open_and_release_inputs(
         self,
         series: AttemptSeries,
         plan: AttemptPlan,
         on_inputs_read: Callable[[], None],
-    ) -> Opened:
+    ) -> OpenResult:
         """
-        Open a stream, and free its inputs before its first event.
+        Open a stream, and release its inputs before its first event.
 
-        An engine with a free slot reads them at once and the prompt after
-        them.  Waiting for the first event keeps them for the time of the
-        prompt, and space for them is what the pool that made them lacks.
+        An engine with a free slot reads the inputs at once and processes the
+        prompt afterwards.  Releasing them only at the first event would keep
+        them for the duration of the prompt, while the pool that produced them
+        is short of space for results.
         """
         record = self._context.book.get(plan.instance.instance)
         depth = record.in_flight + record.get_others(get_monotonic_ms())
-        opening = open_answer(self._context, series.job, plan)
+        opening_response = open_response(self._context, series.job, plan)
         if depth > plan.instance.slots:
-            return await opening
-        reading = asyncio.get_running_loop().call_later(
+            return await opening_response
+        release_timer = asyncio.get_running_loop().call_later(
             global_settings.ENGINE_INPUTS_READ_MS / 1000,
             on_inputs_read,
         )
         try:
-            return await opening
+            return await opening_response
         finally:
-            reading.cancel()
+            release_timer.cancel()
 
-    async def _pass_error(
+    async def _pass_error_response(
         self,
         series: AttemptSeries,
         plan: AttemptPlan,
         relay: StreamRelay,
         upstream: ClientResponse,
     ) -> web.StreamResponse | None:
-        answer = UpstreamAnswer(
+        response = UpstreamResponse(
             status=upstream.status,
             headers=upstream.headers,
             body=await upstream.read(),
         )
-        if relay.is_started() or not series.is_final(answer.status):
-            series.note_error_answer(plan, answer)
+        if relay.is_started() or not series.is_final(response.status):
+            series.record_error_response(plan, response)
             return None
-        series.note_answer(plan, answer.status)
-        return render_answer(answer)
+        series.record_response(plan, response.status)
+        return render_response(response)
 
 
-def _explain_break(plan: AttemptPlan, error: Exception) -> UpstreamFailure:
+def _make_truncation_failure(
+    plan: AttemptPlan, error: Exception
+) -> UpstreamFailure:
     return UpstreamFailure(
         outcome=Outcome.unknown,
         reason=Reason.truncated,
--- a/packages/ragworthollow-daemon/src/ragworthollow_daemon/gateway/host_pings.py
+++ b/packages/ragworthollow-daemon/src/ragworthollow_daemon/gateway/host_pings.py
@@ -1,4 +1,4 @@
-"""Ask the hosts of gates whether they live, and exchange news with them."""
+"""Ping the hosts of schedulers, and exchange updates with them."""
 
 import asyncio
 import contextlib
@@ -35,21 +35,22 @@
 
 class HostPings:
     """
-    Ask hosts directly whether they live.
+    Check directly whether the hosts of schedulers are alive.
 
-    The lease of an entry outlives its holder by seconds, and the store may be
-    away.
+    The store is not sufficient for that: the lease of a membership record
+    outlives its holder by seconds, and the store may be unavailable.
 
     Parameters
     ----------
     context : GatewayContext
-        Of this process.
+        State of this gateway.
     members : GatewayMembers
-        The gateways.
+        Known gateways.
     announced : AnnouncedWork
-        Work that hosts are told of.
+        Expected work to report to the hosts.
     take_news : callable
-        Takes what a host tells of the store, and when it was asked.
+        Applies the store update of a host, given with the time at which the
+        ping was sent.
     """
 
     def __init__(
@@ -63,26 +64,27 @@
         self._context = context
         self._members = members
         self._announced = announced
-        self._take_news = take_news
+        self._apply_store_update = take_news
 
     async def run(self) -> None:
-        """Ask the hosts of gates whether they live, until cancelled."""
+        """Ping the hosts of schedulers until cancelled."""
         while True:
             with contextlib.suppress(TimeoutError):
                 async with asyncio.timeout(global_settings.HOST_PING_MS / 1000):
                     await self._context.quarantine.has_urgent_news.wait()
             self._context.quarantine.has_urgent_news.clear()
-            await asyncio.gather(*map(self._ping, self._choose_asked()))
+            await asyncio.gather(*map(self._ping, self._choose_ping_targets()))
             if self._context.table is not None:
-                # Where no host answers, there is nobody to hear from.
+                # Set even if no host responds: there is then no peer to get
+                # evidence from.
                 self._context.quarantine.has_asked = True
 
-    def _choose_asked(self) -> list[GatewayMember]:
-        """Choose the others to be asked; nobody before there is a table."""
+    def _choose_ping_targets(self) -> list[GatewayMember]:
+        """Choose the gateways to ping; none before there is a route table."""
         table = self._context.table
         if table is None:
             return []
-        pools = [one.name for one in table.pools.values() if one.pieces]
+        pools = [pool.name for pool in table.pools.values() if pool.pieces]
         self._members.set_pools(pools)
         return self._members.choose_asked()
 
@@ -97,7 +99,7 @@
             leaving_ages_ms=get_leaving_ages_ms(self._context),
             named_limits=tell_limits(self._context),
         )
-        asked_ms = get_boottime_ms()
+        sent_ms = get_boottime_ms()
         try:
             async with self._context.session.post(
                 f'http://{host.peer_address}{PING_PATH}',
@@ -117,41 +119,43 @@
             OSError,
             msgspec.DecodeError,
         ) as error:
-            self._note_silent(host, repr(error))
+            self._mark_unresponsive(host, repr(error))
             return
         if state.instance == host.instance:
-            self._take_told(state, asked_ms)
+            self._apply_updates(state, sent_ms)
         self.take_state(host, state)
 
-    def _take_told(self, state: HostState, asked_ms: float) -> None:
+    def _apply_updates(self, state: HostState, sent_ms: float) -> None:
         if state.store is not None:
-            self._take_news(state.store, asked_ms)
+            self._apply_store_update(state.store, sent_ms)
         self._context.quarantine.take_news(state.instance, state.evidence)
         take_leaving(self._context, state.leaving_ages_ms)
-        hear_limits(self._context, state.named_limits, asked_ms)
+        hear_limits(self._context, state.named_limits, sent_ms)
 
     def take_state(self, host: GatewayMember, state: HostState) -> None:
         """
-        Take the answer to a ping.
+        Apply the response to a ping.
 
         Parameters
         ----------
         host : GatewayMember
-            Who was asked.
+            Host that was pinged.
         state : HostState
-            What it said.
+            State that it reported.
         """
         if state.instance != host.instance:
-            self._note_silent(host, 'another process answered')
+            self._mark_unresponsive(host, 'another process responded')
             return
         if not state.can_host:
-            self._note_silent(host, 'knows no upstream instances')
+            self._mark_unresponsive(
+                host, 'has no route table or no list of upstream instances'
+            )
             return
         if self._members.is_silent(host.instance):
             log_event('peer_regained', step=_STEP, peer=host.instance)
         self._members.note_answer(state)
 
-    def _note_silent(self, host: GatewayMember, detail: str) -> None:
+    def _mark_unresponsive(self, host: GatewayMember, detail: str) -> None:
         if not self._members.is_silent(host.instance):
             log_event(
                 'peer_lost',
--- a/packages/ragworthollow-daemon/src/ragworthollow_daemon/gateway/limit_notices.py
+++ b/packages/ragworthollow-daemon/src/ragworthollow_daemon/gateway/limit_notices.py
@@ -1,4 +1,4 @@
-"""Apply the limits that instances name in their answers."""
+"""Apply the rate limits that instances advertise in their responses."""
 
 from collections.abc import Mapping
 
@@ -18,97 +18,99 @@
 _STEP = 'instances'
 
 
-def note_limit(
+def record_limit(
     context: GatewayContext,
     instance: UpstreamInstance,
-    marks: AnswerMarks,
+    metadata: AnswerMarks,
     *,
-    asked_ms: float,
+    sent_ms: float,
     is_authentic: bool,
 ) -> None:
     """
-    Take what an answer says of its instance's limit.
+    Record the rate limit that a response advertises, or that it has none.
 
     Parameters
     ----------
     context : GatewayContext
-        Of this process.
+        State of this gateway.
     instance : UpstreamInstance
-        Who was asked.
-    marks : AnswerMarks
-        What the head of the answer says.
-    asked_ms : float
-        When the request was sent, on the clock that counts suspended time.
+        Instance to which the request was sent.
+    metadata : AnswerMarks
+        Metadata from the head of the response.
+    sent_ms : float
+        When the request was sent, on CLOCK_BOOTTIME, which includes time in
+        suspend.
     is_authentic : bool
-        Whether an answer that names no limit ends the one that is known.
+        Whether a response without a limit ends the known one.
     """
-    if marks.unreadable_limit:
-        _note_unreadable(context, instance, marks)
-    limit_per_s = marks.limit_per_s
+    if metadata.unreadable_limit:
+        _record_unreadable(context, instance, metadata)
+    limit_per_s = metadata.limit_per_s
     if limit_per_s is None:
-        if marks.unreadable_limit or not is_authentic:
+        if metadata.unreadable_limit or not is_authentic:
             return
         limit_per_s = UNLIMITED_PER_S
-    named = NamedLimit(
+    advertised = NamedLimit(
         requests_per_s=limit_per_s,
-        asked_ms=asked_ms,
+        asked_ms=sent_ms,
         heard_ms=get_boottime_ms(),
     )
-    _note_named(context, instance, named)
+    _record_advertised(context, instance, advertised)
 
 
 def tell_limits(context: GatewayContext) -> dict[str, LimitNews]:
-    """Return what another gateway is to be told of limits now."""
+    """Return the limit updates to send to another gateway now."""
     now_ms = get_boottime_ms()
-    told = context.throttle.named_limits.choose_told(now_ms)
+    chosen = context.throttle.named_limits.choose_told(now_ms)
     return {
-        incarnation: make_limit_news(named, now_ms)
-        for incarnation, named in told.items()
+        incarnation: make_limit_news(advertised, now_ms)
+        for incarnation, advertised in chosen.items()
     }
 
 
 def hear_limits(
     context: GatewayContext,
-    news: Mapping[str, LimitNews],
+    updates: Mapping[str, LimitNews],
     sent_after_ms: float,
 ) -> None:
     """
-    Take what another gateway tells of limits.
+    Apply the limit updates of another gateway.
 
     Parameters
     ----------
     context : GatewayContext
-        Of this process.
-    news : mapping of str to LimitNews
-        What it tells, by incarnation.
+        State of this gateway.
+    updates : mapping of str to LimitNews
+        The updates, by incarnation.
     sent_after_ms : float
-        Moment before it told so, on the clock that counts suspended time.
+        Time before which they were not sent, on CLOCK_BOOTTIME, which
+        includes time in suspend.
     """
     now_ms = get_boottime_ms()
-    for incarnation, one in news.items():
-        named = read_limit_news(
-            one,
+    for incarnation, update in updates.items():
+        advertised = read_limit_news(
+            update,
             sent_after_ms=sent_after_ms,
             now_ms=now_ms,
         )
-        if context.throttle.named_limits.note_heard(incarnation, named):
+        if context.throttle.named_limits.note_heard(incarnation, advertised):
             context.metrics.count_event('instance_limit_heard')
             log_event(
                 'instance_limit_heard',
                 step=_STEP,
                 peer=incarnation,
-                limit_per_s=one.requests_per_s,
-                age_ms=round(one.heard_age_ms),
+                limit_per_s=update.requests_per_s,
+                age_ms=round(update.heard_age_ms),
             )
 
 
-def _note_named(
+def _record_advertised(
     context: GatewayContext,
     instance: UpstreamInstance,
-    named: NamedLimit,
+    advertised: NamedLimit,
 ) -> None:
     limits = context.throttle.named_limits
-    if not limits.note(instance.get_incarnation(), named):
+    if not limits.note(instance.get_incarnation(), advertised):
         return
     context.metrics.count_event('instance_named_limit')
     log_event(
@@ -117,15 +119,17 @@
         peer=instance.instance,
         started_unix_ms=instance.started_unix_ms,
         pool=instance.pool,
-        limit_per_s=named.requests_per_s if named.is_limit() else None,
-        answer_ms=round(named.heard_ms - named.asked_ms),
+        limit_per_s=advertised.requests_per_s
+        if advertised.is_limit()
+        else None,
+        answer_ms=round(advertised.heard_ms - advertised.asked_ms),
     )
 
 
-def _note_unreadable(
+def _record_unreadable(
     context: GatewayContext,
     instance: UpstreamInstance,
-    marks: AnswerMarks,
+    metadata: AnswerMarks,
 ) -> None:
     context.metrics.count_event('instance_limit_unreadable')
     log_event(
@@ -133,6 +137,6 @@
         step=_STEP,
         peer=instance.instance,
         pool=instance.pool,
-        found=marks.unreadable_limit,
-        limit_per_s=marks.limit_per_s,
+        found=metadata.unreadable_limit,
+        limit_per_s=metadata.limit_per_s,
     )
--- a/packages/ragworthollow-daemon/src/ragworthollow_daemon/gateway/pool_throttle.py
+++ b/packages/ragworthollow-daemon/src/ragworthollow_daemon/gateway/pool_throttle.py
@@ -1,4 +1,4 @@
-"""Keep to what the instances of one pool take."""
+"""Apply the request limits of the instances of one pool."""
 
 from collections.abc import Collection, Iterator, Sequence
 from dataclasses import dataclass
@@ -14,14 +14,14 @@
 @dataclass(frozen=True, kw_only=True, slots=True)
 class ThrottleRefusal:
     """
-    Say why no instance of a pool may get a request.
+    Describe why no instance of a pool may get a request.
 
     Attributes
     ----------
     reason : Reason
-        What bounds the instances.
+        Kind of limit that applies to the instances.
     retry_after_ms : float
-        When a caller may come back.
+        Time after which a caller may retry.
     """
 
     reason: Reason
@@ -30,16 +30,17 @@
 
 class PoolThrottle:
     """
-    Say which instances of a pool may get a request from this gateway now.
+    Determine which instances of a pool this gateway may send to now.
 
     Parameters
     ----------
     context : GatewayContext
-        Of this process.
+        State of this gateway.
     pool : str
-        The pool.
+        Name of the pool.
     is_only_sender : bool
-        Whether no other gateway sends to it, as for the host of a gate.
+        Whether no other gateway sends to the pool, as on the host of its
+        scheduler.
     """
 
     def __init__(
@@ -55,7 +56,7 @@
         self._warm_up_limits = _find_warm_up_limits(context, pool)
 
     def get_warm_up_burst(self) -> int | None:
-        """Return what a warming instance may get in a second; None for all."""
+        """Return the requests in any second of warm-up; None if unlimited."""
         limits = self._warm_up_limits
         return None if limits is None else limits.burst
 
@@ -64,10 +65,12 @@
         instances = self._context.directory.get_pool(self._pool)
         if not self._context.throttle.is_needed():
             return instances
-        return [one for one in instances if not self.get_wait_ms(one)]
+        return [
+            instance for instance in instances if not self.get_wait_ms(instance)
+        ]
 
     def get_wait_ms(self, instance: UpstreamInstance) -> float:
-        """Return how long an instance may get nothing from here."""
+        """Return how long this gateway may not send to an instance."""
         return self._context.throttle.get_wait_ms(
             instance.get_incarnation(),
             self._warm_up_limits,
@@ -77,58 +80,64 @@
 
     def get_pool_wait_ms(self, tried: Collection[str] = ()) -> float:
         """
-        Return how long no instance may get anything from here.
+        Return how long this gateway may not send to any instance.
 
         Parameters
         ----------
         tried : collection of str
-            Instances that do not count.
+            Instances to ignore.
 
         Returns
         -------
         float
-            0 if any may now, and for a pool without instances.
+            Time in milliseconds; 0 if any instance may get a request now, and
+            for a pool without instances.
         """
         if not self._context.throttle.is_needed():
             return 0
-        return min(map(self.get_wait_ms, self._list(tried)), default=0)
+        return min(map(self.get_wait_ms, self._list_untried(tried)), default=0)
 
     def find_refusal(
         self,
         tried: Collection[str] = (),
     ) -> ThrottleRefusal | None:
         """
-        Say why no instance may get anything from here; None if any may.
+        Return why this gateway may not send to any instance.
 
         Parameters
         ----------
         tried : collection of str
-            Instances that do not count.
+            Instances to ignore.
+
+        Returns
+        -------
+        ThrottleRefusal or None
+            None if any instance may get a request now.
         """
         wait_ms = self.get_pool_wait_ms(tried)
         if not wait_ms:
             return None
-        if not any(map(self._has_named_limit, self._list(tried))):
+        if not any(map(self._has_advertised_limit, self._list_untried(tried))):
             return ThrottleRefusal(
                 reason=Reason.warming_up,
                 retry_after_ms=wait_ms,
             )
-        # Another gateway may send where this one may not, and has a turn in
-        # every window.
+        # Another gateway may be allowed to send to an instance that this one
+        # may not send to, and gets its share in every window.
         return ThrottleRefusal(
             reason=Reason.rate_limited,
             retry_after_ms=min(wait_ms, global_settings.NAMED_LIMIT_WINDOW_MS),
         )
 
     def claim(self, instance: UpstreamInstance) -> bool:
-        """Tell whether an instance may get a message now, and count it."""
+        """Return whether an instance may get a message now; record it if so."""
         if self.get_wait_ms(instance):
             return False
         self.note_sent(instance)
         return True
 
     def note_sent(self, instance: UpstreamInstance) -> None:
-        """Note a request that is sent to an instance now."""
+        """Record that a request is sent to an instance now."""
         if self._context.throttle.is_needed():
             self._context.throttle.note_sent(
                 instance.get_incarnation(),
@@ -137,28 +146,32 @@
                 is_only_sender=self._is_only_sender,
             )
 
-    def _list(self, tried: Collection[str]) -> Iterator[UpstreamInstance]:
-        for one in self._context.directory.get_pool(self._pool):
-            if one.instance not in tried:
-                yield one
+    def _list_untried(
+        self, tried: Collection[str]
+    ) -> Iterator[UpstreamInstance]:
+        for instance in self._context.directory.get_pool(self._pool):
+            if instance.instance not in tried:
+                yield instance
 
-    def _has_named_limit(self, instance: UpstreamInstance) -> bool:
-        named = self._context.throttle.named_limits.find(
+    def _has_advertised_limit(self, instance: UpstreamInstance) -> bool:
+        advertised = self._context.throttle.named_limits.find(
             instance.get_incarnation(),
             get_monotonic_ms(),
         )
-        return named is not None
+        return advertised is not None
 
 
 def _find_warm_up_limits(
     context: GatewayContext,
     pool: str,
 ) -> RateLimits | None:
-    described = None if context.table is None else context.table.pools.get(pool)
-    if described is None:
+    pool_config = (
+        None if context.table is None else context.table.pools.get(pool)
+    )
+    if pool_config is None:
         return None
     return derive_limits(
-        requests_per_s=described.warm_up_per_s,
+        requests_per_s=pool_config.warm_up_per_s,
         burst_ratio=context.settings.warm_up_burst_ratio,
         burst_slack=context.settings.warm_up_burst_slack,
     )
--- a/packages/ragworthollow-daemon/src/ragworthollow_daemon/gateway/quarantine.py
+++ b/packages/ragworthollow-daemon/src/ragworthollow_daemon/gateway/quarantine.py
@@ -26,22 +26,23 @@
 
 class Quarantine:
     """
-    Share evidence of crashes with other gateways, and decide by it.
+    Share evidence of crashes with other gateways, and quarantine by it.
 
-    A caller sends the same request again to any gateway, so that each has to
-    know what all have seen.  Evidence travels with the pings between gateways;
-    one that has just started is not ready before it has asked.
+    A caller may retry the same request at any gateway, so each gateway needs
+    the evidence of all others.  Evidence is exchanged with the pings between
+    gateways; a gateway that has just started does not become ready until it
+    has polled its peers.
 
     Parameters
     ----------
     settings : GatewaySettings
-        Checked settings.
+        Validated settings.
     incarnation : str
-        Of this process.
+        Incarnation of this process.
     directory : Directory
-        The instances that may get work.
+        Instances that may get work.
     metrics : Metrics
-        Of this process.
+        Metrics of this process.
     spawn : callable
         Runs a task that outlives the request that caused it.
     """
@@ -56,62 +57,62 @@
         spawn: Spawn,
     ) -> None:
         self._metrics = metrics
-        self._ledger = CrashLedger(
+        self._registry = CrashLedger(
             crash_limit=settings.quarantine_crashes,
             term_ms=settings.quarantine_ms,
         )
         self._exchange = EvidenceExchange(
             incarnation=incarnation,
-            ledger=self._ledger,
-            on_quarantine=self._note_quarantine,
+            ledger=self._registry,
+            on_quarantine=self._record_quarantine,
         )
-        self._crashes = CrashWatch(
+        self._crash_detector = CrashWatch(
             directory=directory,
             metrics=metrics,
             spawn=spawn,
-            on_crash=self._note_crash,
+            on_crash=self._record_crash,
         )
-        # Requests that this process has quarantined or let in again.
-        self.changed_verdicts: asyncio.Queue[str] = asyncio.Queue()
-        # Set when other gateways should be told without delay.
+        # Fingerprints that this process has quarantined or cleared.
+        self.changed_decisions: asyncio.Queue[str] = asyncio.Queue()
+        # Set when other gateways should be notified without delay.
         self.has_urgent_news = asyncio.Event()
         self.has_asked = False
 
     def get_left_ms(self, fingerprint: str) -> float:
-        """Return for how long a request is quarantined; 0 if it is not."""
-        return self._ledger.get_left_ms(fingerprint, get_boottime_ms())
+        """Return how long a request stays quarantined; 0 if it is not."""
+        return self._registry.get_left_ms(fingerprint, get_boottime_ms())
 
     def list_quarantined(self) -> list[QuarantinedRequest]:
         """Return the requests that are quarantined."""
-        quarantined = self._ledger.list_quarantined(get_boottime_ms())
+        quarantined = self._registry.list_quarantined(get_boottime_ms())
         return [
             QuarantinedRequest(
                 fingerprint=fingerprint,
                 crashes=self._list_crashes(fingerprint),
-                left_ms=left_ms,
+                left_ms=remaining_ms,
             )
-            for fingerprint, left_ms in quarantined.items()
+            for fingerprint, remaining_ms in quarantined.items()
         ]
 
-    def note_break(
+    def record_connection_loss(
         self,
         instance: UpstreamInstance,
         fingerprints: Iterable[str],
     ) -> None:
-        """Take it that a connection with these requests broke."""
-        self._crashes.note_break(instance, fingerprints)
+        """Record that a connection with running requests was lost."""
+        self._crash_detector.note_break(instance, fingerprints)
 
-    async def settle(self, instance: UpstreamInstance) -> None:
-        """Wait until it is known whether an instance has crashed."""
-        await self._crashes.settle(instance)
+    async def wait_for_crash_check(self, instance: UpstreamInstance) -> None:
+        """Wait until the running check of an instance, if any, has ended."""
+        await self._crash_detector.settle(instance)
 
-    def note_good_end(self, fingerprint: str) -> None:
-        """Take back all evidence against a request that has ended well."""
+    def record_success(self, fingerprint: str) -> None:
+        """Clear all evidence against a request that succeeded."""
         self._clear(fingerprint, 'request_cleared')
 
     def release(self, fingerprint: str) -> bool:
         """
-        Take back all evidence against a request, as an operator asks.
+        Clear all evidence against a request on behalf of an operator.
 
         Returns
         -------
@@ -122,51 +123,53 @@
         return self._clear(fingerprint, 'request_released')
 
     def make_news(self, peer: str) -> EvidenceNews | None:
-        """Make what another gateway has not heard; None for nothing."""
+        """Make the update another gateway has yet to receive, or None."""
         return self._exchange.make_news(peer, get_boottime_ms())
 
-    def take_news(self, peer: str, news: EvidenceNews | None) -> None:
-        """Take what another gateway tells; None for nothing."""
-        if news is not None:
-            self._exchange.take_news(peer, news, get_boottime_ms())
+    def take_news(self, peer: str, update: EvidenceNews | None) -> None:
+        """Apply the update of another gateway, if there is one."""
+        if update is not None:
+            self._exchange.take_news(peer, update, get_boottime_ms())
 
-    def take_report(self, report: CrashReport) -> None:
-        """Take what the store holds against a request."""
+    def apply_report(self, report: CrashReport) -> None:
+        """Apply the evidence that the store holds against a request."""
         self._exchange.take_report(report, get_boottime_ms())
 
     def encode_record(self, fingerprint: str) -> str:
-        """Encode what the store is to hold against a request."""
-        suspect = self._ledger.get_suspect(fingerprint) or Suspect()
-        report = make_report(fingerprint, suspect, get_boottime_ms())
+        """Encode the evidence against a request for the store."""
+        crash_record = self._registry.get_suspect(fingerprint) or Suspect()
+        report = make_report(fingerprint, crash_record, get_boottime_ms())
         return msgspec.json.encode(report).decode()
 
     def count(self) -> int:
-        """Return the number of requests against which there is evidence."""
-        return self._ledger.count()
+        """Return the number of requests with evidence against them."""
+        return self._registry.count()
 
-    def _note_crash(self, incarnation: str, running: Iterable[str]) -> None:
+    def _record_crash(self, incarnation: str, running: Iterable[str]) -> None:
         now_ms = get_boottime_ms()
         self.has_urgent_news.set()
         for fingerprint in running:
-            if self._ledger.note_crash(fingerprint, incarnation, now_ms):
-                self._note_quarantine(fingerprint)
-                self.changed_verdicts.put_nowait(fingerprint)
+            if self._registry.note_crash(fingerprint, incarnation, now_ms):
+                self._record_quarantine(fingerprint)
+                self.changed_decisions.put_nowait(fingerprint)
 
     def _clear(self, fingerprint: str, event: str) -> bool:
         is_quarantined = self.get_left_ms(fingerprint) > 0
-        is_new = self._ledger.clear(fingerprint, get_boottime_ms())
+        has_evidence = self._registry.clear(fingerprint, get_boottime_ms())
         if is_quarantined:
-            self.changed_verdicts.put_nowait(fingerprint)
-        if is_new:
+            self.changed_decisions.put_nowait(fingerprint)
+        if has_evidence:
             self._metrics.count_event(event)
             log_event(event, step=_STEP, fingerprint=fingerprint)
-        return is_new
+        return has_evidence
 
     def _list_crashes(self, fingerprint: str) -> tuple[str, ...]:
-        suspect = self._ledger.get_suspect(fingerprint)
-        return () if suspect is None else tuple(sorted(suspect.crashes))
+        crash_record = self._registry.get_suspect(fingerprint)
+        return (
+            () if crash_record is None else tuple(sorted(crash_record.crashes))
+        )
 
-    def _note_quarantine(self, fingerprint: str) -> None:
+    def _record_quarantine(self, fingerprint: str) -> None:
         self._metrics.count_event('request_quarantined')
         log_event(
             'request_quarantined',
--- a/packages/ragworthollow-daemon/src/ragworthollow_daemon/gateway/quarantine_records.py
+++ b/packages/ragworthollow-daemon/src/ragworthollow_daemon/gateway/quarantine_records.py
@@ -1,4 +1,4 @@
-"""Keep in the store which requests are quarantined."""
+"""Persist in the store which requests are quarantined."""
 
 import asyncio
 from collections.abc import Mapping
@@ -21,69 +21,72 @@
 
 class QuarantineRecords:
     """
-    Write each verdict once, and learn those that are there.
+    Write each quarantine decision once, and apply those in the store.
 
-    Gateways tell each other of evidence.  When all end at the same moment, it
-    would be gone, and learnt again at the price of further instances.
+    Gateways exchange evidence among each other.  Without the store it would
+    be lost if all of them terminated at the same time, and could only be
+    gathered again by crashing further instances.
 
     Parameters
     ----------
     context : GatewayContext
-        Of this process.
+        State of this gateway.
     """
 
     def __init__(self, *, context: GatewayContext) -> None:
         self._context = context
-        self._learned: dict[str, Stored] = {}
+        self._applied_records: dict[str, Stored] = {}
         self._timeline = 0
 
     async def run(self) -> None:
-        """Bring verdicts that were changed here to the store, for ever."""
-        changed = self._context.quarantine.changed_verdicts
+        """Write the decisions of this gateway to the store until cancelled."""
+        changed_decisions = self._context.quarantine.changed_decisions
         while True:
-            fingerprint = await changed.get()
-            while not await self._bring(fingerprint):
+            fingerprint = await changed_decisions.get()
+            while not await self._write_record(fingerprint):
                 pause_s = global_settings.MEMBER_RETRY_MS / _MILLISECONDS
                 await asyncio.sleep(pause_s)
 
-    def take(self, found: Mapping[str, Stored], _asked_ms: float) -> None:
-        """Take all keys of the store."""
+    def take(self, entries: Mapping[str, Stored], _sent_ms: float) -> None:
+        """Apply all records of the store."""
         records = {
             key: stored
-            for key, stored in found.items()
+            for key, stored in entries.items()
             if key.startswith(_PREFIX)
         }
-        self._learn_changed(records)
+        self._apply_changed_records(records)
         timeline = self._context.replica.view.timeline
         if timeline != self._timeline:
             self._timeline = timeline
-            self._bring_lost()
-        self._learned = records
+            self._requeue_lost()
+        self._applied_records = records
 
     def note_lost(self, detail: str) -> None:
-        """Note that the store could not be read; what is known holds."""
+        """Ignore an unavailable store; known decisions stay in effect."""
 
-    def _bring_lost(self) -> None:
-        """Bring verdicts again that a restored store has lost."""
-        found = self._context.replica.view.found
-        for one in self._context.quarantine.list_quarantined():
-            key = f'{_PREFIX}{one.fingerprint}'
+    def _requeue_lost(self) -> None:
+        """Queue decisions again that a store lost when it was restored."""
+        entries = self._context.replica.view.found
+        for request in self._context.quarantine.list_quarantined():
+            key = f'{_PREFIX}{request.fingerprint}'
             is_writer = self._context.throttle.senders.is_chosen(
                 key,
                 1,
                 get_monotonic_ms(),
             )
-            if is_writer and key not in found:
-                self._context.quarantine.changed_verdicts.put_nowait(
-                    one.fingerprint,
+            if is_writer and key not in entries:
+                self._context.quarantine.changed_decisions.put_nowait(
+                    request.fingerprint,
                 )
 
-    def _learn_changed(self, records: Mapping[str, Stored]) -> None:
+    def _apply_changed_records(self, records: Mapping[str, Stored]) -> None:
         for key, stored in records.items():
-            if not stored.is_same_write(self._learned.get(key, Stored())):
-                self._learn(key, stored)
+            if not stored.is_same_write(
+                self._applied_records.get(key, Stored())
+            ):
+                self._apply_record(key, stored)
 
-    def _learn(self, key: str, stored: Stored) -> None:
+    def _apply_record(self, key: str, stored: Stored) -> None:
         try:
             report = msgspec.json.decode(stored.text, type=CrashReport)
         except msgspec.DecodeError as error:
@@ -94,14 +97,14 @@
                 error=str(error),
             )
             return
-        self._context.quarantine.take_report(report)
+        self._context.quarantine.apply_report(report)
 
-    async def _bring(self, fingerprint: str) -> bool:
-        """Write or remove a record, and tell whether that has worked."""
-        left_ms = self._context.quarantine.get_left_ms(fingerprint)
+    async def _write_record(self, fingerprint: str) -> bool:
+        """Write or remove a record, and return whether that succeeded."""
+        remaining_ms = self._context.quarantine.get_left_ms(fingerprint)
         key = f'{_PREFIX}{fingerprint}'
-        if not left_ms:
-            return self._note(
+        if not remaining_ms:
+            return self._check_write(
                 await self._context.store.commit(
                     compares=(),
                     puts=(),
@@ -109,27 +112,27 @@
                 ),
             )
         granted = await self._context.store.grant_lease(
-            int(min(left_ms, global_settings.LONGEST_LEASE_MS)),
+            int(min(remaining_ms, global_settings.LONGEST_LEASE_MS)),
         )
         if isinstance(granted, Err):
-            return self._note(granted)
+            return self._check_write(granted)
         record = Put(
             key=key,
             text=self._context.quarantine.encode_record(fingerprint),
             lease=granted.ok_value,
         )
-        return self._note(
+        return self._check_write(
             await self._context.store.commit(compares=(), puts=(record,)),
         )
 
-    def _note(self, brought) -> bool:
-        if not isinstance(brought, Err):
+    def _check_write(self, write_result) -> bool:
+        if not isinstance(write_result, Err):
             return True
         self._context.metrics.count_event('quarantine_record_failed')
         log_event(
             'quarantine_record_failed',
             step=_STEP,
             peer='store',
-            error=str(brought.err_value),
+            error=str(write_result.err_value),
         )
         return False
--- a/packages/ragworthollow-daemon/src/ragworthollow_daemon/gateway/stream_relay.py
+++ b/packages/ragworthollow-daemon/src/ragworthollow_daemon/gateway/stream_relay.py
@@ -1,4 +1,4 @@
-"""Pass a stream through to the caller, from one upstream or several."""
+"""Relay an event stream to the caller, from one or several upstreams."""
 
 from collections.abc import Callable
 
@@ -6,21 +6,21 @@
 
 from ragworthollow.platform.answer_wire import make_caller_headers
 from ragworthollow_daemon.gateway.answer_progress import AnswerProgress
-from ragworthollow_daemon.gateway.event_splitter import EventSplitter
+from ragworthollow_daemon.gateway.event_buffer import EventBuffer
 from ragworthollow_daemon.gateway.request_job import RequestJob
 from ragworthollow_daemon.gateway.upstream_failure import UpstreamFailure
 
 
 class StreamBroken(Exception):
     """
-    Say that a stream has ended before its end.
+    Signal that a stream was aborted after its head had been sent.
 
     Parameters
     ----------
     response : StreamResponse
-        What the caller has of it; its connection is closed.
+        The partial response; its connection is closed.
     failure : UpstreamFailure
-        Why it cannot go on.
+        Why the stream cannot be resumed.
     """
 
     def __init__(
@@ -36,19 +36,19 @@
 
 class StreamRelay:
     """
-    Write the events of a stream as they arrive.
+    Write the events of a stream to the caller as they arrive.
 
-    The head and its signature are the first upstream's, also when another
-    one goes on.
+    The head and its signature come from the first upstream, even if another
+    upstream resumes the stream.
 
     Parameters
     ----------
     job : RequestJob
-        The request.
+        Request to answer.
     is_draining : callable
-        Tells whether the process stops.
+        Returns whether the process is shutting down.
     progress : AnswerProgress
-        Told when the head of the answer is sent.
+        Updated when the head of the response is sent.
     """
 
     def __init__(
@@ -62,18 +62,18 @@
         self._progress = progress
         self._is_draining = is_draining
         self._response: web.StreamResponse | None = None
-        self._splitter = EventSplitter()
+        self._event_buffer = EventBuffer()
 
     def is_started(self) -> bool:
-        """Tell whether the caller has the head of the answer."""
+        """Return whether the head of the response has been sent."""
         return self._response is not None
 
     def get_last_event_id(self) -> str:
-        """Return the id after which the stream would go on."""
-        return self._splitter.last_event_id or self._job.terms.last_event_id
+        """Return the id of the event after which to resume the stream."""
+        return self._event_buffer.last_event_id or self._job.terms.last_event_id
 
     async def start(self, upstream: ClientResponse) -> None:
-        """Send the head, unless an earlier upstream's has been sent."""
+        """Send the head, unless that of an earlier upstream has been sent."""
         if self._response is not None:
             return
         response = web.StreamResponse(
@@ -82,59 +82,60 @@
         )
         response.enable_chunked_encoding()
         if self._is_draining():
-            # The next request of this connection goes to another process.
+            # Makes the caller send its next request to another process.
             response.force_close()
         self._response = response
         self._progress.is_started = True
         await response.prepare(self._job.request)
 
-    async def pump(
+    async def relay_events(
         self,
         upstream: ClientResponse,
         on_first_event: Callable[[], None],
     ) -> None:
         """
-        Pass events on until the upstream has ended its stream.
+        Relay events until the upstream ends its stream.
 
         Parameters
         ----------
         upstream : ClientResponse
-            Its open answer.
+            Open response of the upstream.
         on_first_event : callable
-            Called when events have come: the upstream has begun to generate
-            and needs its inputs no more.
+            Called each time events arrive: the upstream has started to
+            generate and no longer needs its inputs.
 
         Raises
         ------
         ClientError
-            The upstream broke off; `get_last_event_id` tells where.
+            If the upstream disconnects; `get_last_event_id` returns the event
+            after which to resume.
         """
-        self._splitter.take_rest()
+        self._event_buffer.pop_incomplete()
         async for chunk, _ in upstream.content.iter_chunks():
-            whole = self._splitter.feed(chunk)
-            if whole:
+            complete = self._event_buffer.feed(chunk)
+            if complete:
                 on_first_event()
-                await self._write(whole)
-        rest = self._splitter.take_rest()
-        if rest:
-            await self._write(rest)
+                await self._write(complete)
+        incomplete = self._event_buffer.pop_incomplete()
+        if incomplete:
+            await self._write(incomplete)
 
     async def finish(self) -> web.StreamResponse:
-        """End the answer as complete."""
+        """End the response as complete."""
         await self._response.write_eof()
         return self._response
 
     def abort(self, failure: UpstreamFailure) -> StreamBroken:
         """
-        End the connection so that the answer does not look complete.
+        Close the connection so that the response does not look complete.
 
-        What was written is still delivered; the server cannot end the body
-        in the regular way on a connection that is closing.
+        Data already written is still delivered; the server cannot terminate
+        the body regularly on a connection that is closing.
 
         Returns
         -------
         StreamBroken
-            To be raised.
+            Exception for the calling function to raise.
         """
         transport = self._job.request.transport
         if transport is not None:
--- a/packages/ragworthollow-daemon/src/ragworthollow_daemon/gateway/upstream_failure.py
+++ b/packages/ragworthollow-daemon/src/ragworthollow_daemon/gateway/upstream_failure.py
@@ -1,4 +1,4 @@
-"""Define why an attempt or a request has no answer."""
+"""Define why an attempt or a request has no response."""
 
 from dataclasses import dataclass
 
@@ -8,20 +8,20 @@
 @dataclass(frozen=True, kw_only=True, slots=True)
 class UpstreamFailure:
     """
-    Say why there is no answer, and what that proves.
+    Describe why there is no response, and whether the request may have run.
 
     Attributes
     ----------
     outcome : Outcome
         `not_run` when it is proved that nothing ran and nothing will.
     reason : Reason
-        Why, as counted in the metrics.
+        Cause, as counted in the metrics.
     step, peer : str
-        Where it arose, and who failed.
+        Step at which the failure occurred, and the peer that failed.
     detail : str
-        One sentence for a person.
+        One human-readable sentence.
     retry_after_ms : float or None
-        When coming back is worth it, where that is known.
+        Time after which a retry is useful; None when that is not known.
     """
 
     outcome: Outcome
