--- a/packages/ragworthollow-daemon/src/ragworthollow_daemon/gateway/call_outcomes.py
+++ b/packages/ragworthollow-daemon/src/ragworthollow_daemon/gateway/call_outcomes.py
@@ -255,7 +255,7 @@
             pool=pool,
             peer=call.instance.instance,
             requests=sorted(
-                {waiting.piece.request_id for waiting in call.waiting}
+                {member.piece.request_id for member in call.waiting}
             ),
             pieces=len(call.waiting),
             failure_domain=call.instance.failure_domain,
--- a/packages/ragworthollow-daemon/src/ragworthollow_daemon/gateway/host_pings.py
+++ b/packages/ragworthollow-daemon/src/ragworthollow_daemon/gateway/host_pings.py
@@ -144,12 +144,10 @@
             State that it reported.
         """
         if state.instance != host.instance:
-            self._mark_unresponsive(host, 'another process responded')
+            self._mark_unresponsive(host, 'another process answered')
             return
         if not state.can_host:
-            self._mark_unresponsive(
-                host, 'has no route table or no list of upstream instances'
-            )
+            self._mark_unresponsive(host, 'knows no upstream instances')
             return
         if self._members.is_silent(host.instance):
             log_event('peer_regained', step=_STEP, peer=host.instance)
--- a/packages/ragworthollow-daemon/src/ragworthollow_daemon/gateway/stream_relay.py
+++ b/packages/ragworthollow-daemon/src/ragworthollow_daemon/gateway/stream_relay.py
@@ -6,7 +6,7 @@
 
 from ragworthollow.platform.answer_wire import make_caller_headers
 from ragworthollow_daemon.gateway.answer_progress import AnswerProgress
-from ragworthollow_daemon.gateway.event_buffer import EventBuffer
+from ragworthollow_daemon.gateway.event_splitter import EventBuffer
 from ragworthollow_daemon.gateway.request_job import RequestJob
 from ragworthollow_daemon.gateway.upstream_failure import UpstreamFailure
 
