--- a/packages/ragworthollow-daemon/src/ragworthollow_daemon/gateway/admission.py
+++ b/packages/ragworthollow-daemon/src/ragworthollow_daemon/gateway/admission.py
@@ -1,4 +1,4 @@
-"""Decide which requests of callers are taken."""
+"""Admit requests from callers or reject them."""
 
 import asyncio
 
@@ -18,18 +18,18 @@
 from ragworthollow_daemon.gateway.upstream_failure import UpstreamFailure
 
 _STEP = 'front'
-# Digits of a key's hash in a log line: enough to tell keys apart.
+# Length of the key hash prefix in log lines; enough to distinguish keys.
 _KEY_DIGITS = 12
 
 
 class Admission:
     """
-    Judge requests by the configuration in force.
+    Admit requests according to the active configuration.
 
     Parameters
     ----------
     context : GatewayContext
-        Of this process.
+        Shared state of this process.
     """
 
     def __init__(self, *, context: GatewayContext) -> None:
@@ -42,14 +42,20 @@
         received_ms: float,
     ) -> Result[RequestJob, UpstreamFailure]:
         """
-        Take a request, once its body is here, or say why not.
+        Read the body of a request, then admit or reject it.
 
         Parameters
         ----------
         request : BaseRequest
-            Its body not yet read.
+            Request whose body has not been read yet.
         received_ms : float
-            When its head was here, on the monotonic clock.
+            Time on the monotonic clock, in milliseconds, at which the
+            request headers had arrived.
+
+        Returns
+        -------
+        Result
+            The admitted request, or the reason for its rejection.
         """
         terms = read_terms(request.headers)
         table = await self._wait_configured(terms)
@@ -94,11 +100,12 @@
 
     async def _wait_configured(self, terms: RequestTerms) -> RouteTable | None:
         """
-        Return the table in force, waiting for a first one if need be.
+        Return the active route table, waiting for the first one if needed.
 
-        When all gateways return before the store does, none knows a route.
-        Callers that are refused come back to others that know none either;
-        most of these outages end within a second or two.
+        When all gateways restart before the store is available again, none
+        of them has any routes, so callers that are rejected only retry at
+        gateways without routes.  Most of these outages end within a second
+        or two.
         """
         context = self._context
         if context.table is None and terms.time_limit_ms is not None:
@@ -120,7 +127,7 @@
 
 
 def make_stopping(peer: str, outcome: Outcome) -> UpstreamFailure:
-    """Make the failure of a request that this process will not finish."""
+    """Make the failure of a request that is cut off by a shutdown."""
     return UpstreamFailure(
         outcome=outcome,
         reason=Reason.draining,
@@ -136,7 +143,7 @@
     detail: str = '',
     retry_after_ms: float | None = None,
 ) -> UpstreamFailure:
-    """Make the failure of a request for which nothing was sent."""
+    """Make the failure of a request of which nothing was sent upstream."""
     return UpstreamFailure(
         outcome=Outcome.not_run,
         reason=reason,
@@ -156,7 +163,7 @@
 
 
 def _name_key(key: str) -> str:
-    """Name a key so that operators find it and nobody can use it."""
+    """Describe a key for operators without revealing it."""
     if not key:
         return 'no key'
     return f'key with SHA-256 {hash_secret(key)[:_KEY_DIGITS]}'
@@ -194,9 +201,10 @@
     route_name: str,
 ) -> Result[bytes, UpstreamFailure]:
     """
-    Read a whole body.
+    Read the whole body within the time limit of the request.
 
-    A caller that stops in the middle of one would be held for ever.
+    Without a time limit, a caller that stops sending in the middle of the
+    body would keep its connection open indefinitely.
     """
     try:
         async with asyncio.timeout(limit_ms / 1000):
@@ -212,7 +220,7 @@
     request: web.BaseRequest,
     limit_bytes: int,
 ) -> bytes | None:
-    """Read a whole body; None when it is longer than allowed."""
+    """Return the whole body, or None if it exceeds the size limit."""
     if not request.body_exists:
         return b''
     chunks: list[bytes] = []
--- a/packages/ragworthollow-daemon/src/ragworthollow_daemon/gateway/deferral.py
+++ b/packages/ragworthollow-daemon/src/ragworthollow_daemon/gateway/deferral.py
@@ -1,4 +1,4 @@
-"""Hold requests that cannot be in time until pools have spare capacity."""
+"""Defer requests that would be late until pools have spare capacity."""
 
 import asyncio
 import math
@@ -20,18 +20,19 @@
 @dataclass(frozen=True, kw_only=True, slots=True, eq=False)
 class _Deferred:
     """
-    Hold one request.
+    A deferred request.
 
     Attributes
     ----------
     job : RequestJob
         The request.
     way : StageWay
-        What its stages are expected to take.
+        Estimates of the time that its stages take.
     latest_ms : float
-        Latest start that still serves its caller, on the monotonic clock.
+        Latest start with which the answer still reaches the caller before it
+        gives up, in milliseconds on the monotonic clock.
     turn : Future of bool
-        Whether it may begin.
+        Whether the request may start.
     """
 
     job: RequestJob
@@ -42,24 +43,26 @@
 
 class Deferral:
     """
-    Serve late what would be refused, in time that nobody else needs.
+    Queue of requests that are served late, with otherwise unused capacity.
 
-    A burst lasts for seconds, and callers wait for three times their
-    objective or longer.  What the pools cannot do in time now they can often
-    do before its caller leaves.  Nothing is spent on a request while it is
-    deferred, and it ranks behind those that can be in time, so that it takes
-    little from them.  Where few of those before had their turn, the pools
-    are short for longer than that, and a request is refused at once.
+    Bursts last for seconds, while callers wait for three times their
+    objective or longer, so pools can often serve a request that would miss
+    its objective before its caller gives up.  No work is done for a deferred
+    request, and once started it ranks behind requests that can still meet
+    their objective, so it takes little capacity from them.  If few of the
+    recently deferred requests were started, the shortage lasts longer than
+    a burst, and new requests are rejected immediately.
 
-    Of ten heavy days 385 requests were refused in the end against 634
-    without, and as many were in time.
+    Over ten days of heavy load, 385 requests were rejected with deferral and
+    634 without it, while as many requests met their objective.
 
     Parameters
     ----------
     context : GatewayContext
-        Of this process.
+        Shared state of this process.
     get_waits_ms : callable
-        Tells the expected waits by pool for a priority.
+        Returns the expected waits in milliseconds by pool, given the pools
+        and a priority.
     """
 
     def __init__(
@@ -83,13 +86,13 @@
         job : RequestJob
             The request.
         way : StageWay
-            What its stages are expected to take.
+            Estimates of the time that its stages take.
 
         Returns
         -------
         bool
-            Whether it may begin now; False when its caller would have left
-            before its answer.
+            Whether the request may start now; False if its caller would give
+            up before the answer.
         """
         now_ms = get_monotonic_ms()
         latest_ms = way.get_latest_start_ms()
@@ -112,13 +115,13 @@
         return may_begin
 
     def advance(self) -> None:
-        """Let requests begin that have capacity, refuse those too late."""
+        """Start a request if there is capacity; reject expired requests."""
         now_ms = get_monotonic_ms()
         for one in self._waiting:
             if one.latest_ms <= now_ms:
                 _settle(one, may_begin=False)
-        # Hosts tell their waits once in a ping: a second request that begins
-        # before the next one would not see the first.
+        # Scheduler hosts report their waits with each ping.  A second request
+        # that starts before the next ping would not see the load of the first.
         if now_ms - self._begun_ms < global_settings.HOST_PING_MS:
             return
         for one in sorted(self._waiting, key=_rank):
@@ -128,7 +131,7 @@
                 return
 
     def _has_capacity(self, one: _Deferred, now_ms: float) -> bool:
-        """Tell whether the least urgent new request would be let in now."""
+        """Tell whether a new request of the lowest priority would be admitted."""
         if not self._context.directory.get_pool(one.job.pool):
             return False
         pools = {stage.pool for stage in one.job.route.stages}
@@ -138,7 +141,7 @@
         return late_ms <= -margin_ms
 
     def _count_before(self, latest_ms: float, now_ms: float) -> int:
-        """Return how many are expected to begin before a moment."""
+        """Return how many requests are expected to start before a time."""
         turns = (latest_ms - now_ms) / global_settings.HOST_PING_MS
         return math.floor(turns * self._chance.get(now_ms))
 
--- a/packages/ragworthollow-daemon/src/ragworthollow_daemon/gateway/deferral_chance.py
+++ b/packages/ragworthollow-daemon/src/ragworthollow_daemon/gateway/deferral_chance.py
@@ -1,4 +1,4 @@
-"""Know how many deferred requests have had their turn of late."""
+"""Track the share of deferred requests that were started recently."""
 
 import math
 from dataclasses import dataclass
@@ -8,14 +8,14 @@
 
 @dataclass(kw_only=True, slots=True)
 class DeferralChance:
-    """Count the turns of deferred requests, older ones fading."""
+    """Count started and expired deferred requests, with exponential decay."""
 
     _begun: float = 0
     _expired: float = 0
     _noted_ms: float | None = None
 
     def note(self, now_ms: float, *, may_begin: bool) -> None:
-        """Note whether one had its turn before its caller would leave."""
+        """Record whether a request was started before its caller gave up."""
         self._fade(now_ms)
         if may_begin:
             self._begun += 1
@@ -23,7 +23,7 @@
             self._expired += 1
 
     def get(self, now_ms: float) -> float:
-        """Return the share that had its turn; 1 while nothing is known."""
+        """Return the share that was started; 1 without observations."""
         self._fade(now_ms)
         return (self._begun + 1) / (self._begun + self._expired + 1)
 
--- a/packages/ragworthollow-daemon/src/ragworthollow_daemon/gateway/front.py
+++ b/packages/ragworthollow-daemon/src/ragworthollow_daemon/gateway/front.py
@@ -1,4 +1,4 @@
-"""Take callers' requests and answer each of them once."""
+"""Handle callers' requests and send each of them one response."""
 
 import asyncio
 
@@ -24,14 +24,14 @@
 
 class Front:
     """
-    Admit requests and see each to its one answer.
+    Admit requests, run them and record their outcomes.
 
     Parameters
     ----------
     context : GatewayContext
-        Of this process.
+        Shared state of this process.
     pieces : PieceClient
-        Has stage work done.
+        Client that runs the stages of requests.
     """
 
     def __init__(
@@ -45,7 +45,7 @@
         self._runner = RequestRunner(context=context, pieces=pieces)
 
     async def handle(self, request: web.BaseRequest) -> web.StreamResponse:
-        """Answer one request."""
+        """Handle one request and return its response."""
         received_ms = get_monotonic_ms()
         with self._context.drain.serving():
             admitted = await self._admission.admit(request, received_ms)
@@ -61,11 +61,11 @@
         return response
 
     def advance(self) -> None:
-        """Let deferred requests begin for which there is capacity now."""
+        """Start deferred requests if there is capacity for them."""
         self._runner.deferral.advance()
 
     async def _serve_present(self, job: RequestJob) -> Answered:
-        """Serve as long as the caller is there; say so when it leaves."""
+        """Run a request; record a cancellation if the caller disconnects."""
         progress = AnswerProgress(step='stages', peer=job.pool)
         try:
             return await self._runner.run(job, progress)
--- a/packages/ragworthollow-daemon/src/ragworthollow_daemon/gateway/lateness.py
+++ b/packages/ragworthollow-daemon/src/ragworthollow_daemon/gateway/lateness.py
@@ -1,4 +1,4 @@
-"""Refuse at once what would miss its objective on the whole way."""
+"""Reject requests that are expected to miss their objective."""
 
 from collections.abc import Callable, Iterable, Mapping
 
@@ -19,21 +19,22 @@
     get_waits_ms: GetWaits,
 ) -> UpstreamFailure | None:
     """
-    Judge a request before anything was spent on it.
+    Reject a request that is expected to be late, before any work is done.
 
     Parameters
     ----------
     job : RequestJob
         The request.
     way : StageWay
-        What its stages are expected to take.
+        Estimates of the time that its stages take.
     get_waits_ms : callable
-        Tells the expected waits by pool for a priority.
+        Returns the expected waits in milliseconds by pool, given the pools
+        and a priority.
 
     Returns
     -------
     UpstreamFailure or None
-        None lets it in.
+        The rejection; None if the request is admitted.
     """
     pools = {stage.pool for stage in job.route.stages}
     waits_ms = get_waits_ms(pools, job.get_priority())
@@ -50,7 +51,7 @@
             f'expected {late_ms:.0f} ms late after {job.waited_ms:.0f} ms; '
             f'waits {waits_ms}'
         ),
-        # Until then the queue is worked off so far that it would be let in.
+        # By then the queue is short enough for the request to be admitted.
         retry_after_ms=max(
             global_settings.GATEWAY_RETRY_AFTER_MS,
             late_ms - allowed_ms,
@@ -60,13 +61,14 @@
 
 def _get_allowed_ms(job: RequestJob) -> float:
     """
-    Return the expected lateness up to which a request is taken.
+    Return the expected lateness up to which a request is admitted.
 
-    The throughput of a full pool is the same behind a short queue as behind
-    a long one, but behind one as long as the slack of its requests half of
-    them miss their objective by a little.  So a new request needs a margin.
-    A caller that was refused and came back goes before new ones while it can
-    be served in time, so that it is not sent away again and again.
+    The throughput of a saturated pool does not depend on the length of its
+    queue, but if the wait in the queue equals the slack of the requests, half
+    of them narrowly miss their objective.  New requests therefore need a
+    margin.  A caller that retries after a rejection takes precedence over
+    new ones while it can be served in time, so that it is not rejected
+    repeatedly.
     """
     if job.waited_ms:
         return global_settings.ADMISSION_GRACE_MS
--- a/packages/ragworthollow-daemon/src/ragworthollow_daemon/gateway/refusals.py
+++ b/packages/ragworthollow-daemon/src/ragworthollow_daemon/gateway/refusals.py
@@ -1,4 +1,4 @@
-"""Answer requests that get no answer from an upstream."""
+"""Build error responses for requests that no upstream answered."""
 
 import math
 import random
@@ -26,14 +26,14 @@
 
 class RefusalBody(Message):
     """
-    Tell a caller why there is no answer.
+    Body of an error response.
 
     Attributes
     ----------
     outcome : Outcome
         Whether the request may have run.
     reason : Reason
-        Why.
+        Cause of the failure.
     """
 
     outcome: Outcome
@@ -42,10 +42,10 @@
 
 def get_status(failure: UpstreamFailure) -> int:
     """
-    Return the status for a failure.
+    Return the HTTP status for a failure.
 
-    503 promises that the request has not run and never will; whatever may
-    have run is answered 502 or 504, which promise nothing.
+    503 guarantees that the request has not run and never will.  Requests
+    that may have run are answered with 502 or 504, which guarantee nothing.
     """
     status = _CALLER_STATUSES.get(failure.reason)
     if status is not None:
@@ -59,14 +59,15 @@
 
 def refuse(failure: UpstreamFailure, rng: random.Random) -> web.Response:
     """
-    Make the answer for a failure.
+    Build the error response for a failure.
 
     Parameters
     ----------
     failure : UpstreamFailure
-        Why there is no other answer.
+        The failure to report.
     rng : Random
-        Spreads the time after which callers return.
+        Source of the jitter in ``Retry-After``, which keeps callers that
+        were rejected together from retrying together.
     """
     status = get_status(failure)
     response = respond(
--- a/packages/ragworthollow-daemon/src/ragworthollow_daemon/gateway/request_job.py
+++ b/packages/ragworthollow-daemon/src/ragworthollow_daemon/gateway/request_job.py
@@ -1,4 +1,4 @@
-"""Define one caller's request on its way through a gateway."""
+"""Define an admitted request."""
 
 from dataclasses import dataclass
 
@@ -13,31 +13,33 @@
 @dataclass(frozen=True, kw_only=True, slots=True)
 class RequestJob:
     """
-    Hold what is known of a request once it is admitted.
+    Request of a caller after admission.
 
     Attributes
     ----------
     request : BaseRequest
-        As received, its body read.
+        The HTTP request, whose body has been read.
     body : bytes
-        Whole body.
+        The complete body.
     terms : RequestTerms
-        What the caller asks for.
+        Options that the caller set in the request headers.
     route : Route
-        Route in force when the request came.
+        Route that matched when the request arrived.
     holder : KeyHolder or None
-        Who sent it; None for a public route.
+        Owner of the API key; None if the request has no known key and needs
+        none.
     pool : str
-        Pool that is to answer it.
+        Pool that answers the request.
     table : RouteTable
-        Configuration by which it is served.
+        Configuration that applies to the request.
     waited_ms : float
-        How long its caller has waited before it came back; 0 for a first
-        request.
+        Time in milliseconds that the caller had already waited when it
+        retried; 0 for a first attempt.
     fingerprint : str
-        The same for each try of the same work.
+        Identifier that is the same for each attempt at the same work.
     received_ms, deadline_ms : float
-        On the monotonic clock; after the deadline nobody waits any more.
+        Times on the monotonic clock, in milliseconds; after the deadline the
+        caller no longer waits for an answer.
     """
 
     request: web.BaseRequest
@@ -53,11 +55,11 @@
     deadline_ms: float
 
     def get_goal_ms(self) -> float:
-        """Return when its objective is missed; it counts from the first try."""
+        """Return when the objective, counted from the first attempt, ends."""
         return self.received_ms - self.waited_ms + self.route.objective_ms
 
     def get_remaining_ms(self) -> float:
-        """Return the time left in milliseconds."""
+        """Return the time until the deadline in milliseconds."""
         return self.deadline_ms - get_monotonic_ms()
 
     def get_active_stages(self) -> tuple[int, ...]:
@@ -70,7 +72,7 @@
         )
 
     def get_pools(self) -> tuple[str, ...]:
-        """Return the pools that have to work on it, its stages' first."""
+        """Return the pools that process the request, those of stages first."""
         stages = tuple(
             self.route.stages[position].pool
             for position in self.get_active_stages()
@@ -78,16 +80,16 @@
         return (*stages, self.pool)
 
     def get_homes(self) -> Homes | None:
-        """Return the regions in which it may run; None for any."""
+        """Return the regions in which the request may run; None for any."""
         own = None if self.holder is None else self.holder.homes
         return intersect_homes(self.route.homes, own)
 
     def get_priority(self) -> int:
-        """Return the rank, the organisation's before the route's."""
+        """Return the organisation's priority, or else the route's."""
         if self.holder is not None and self.holder.priority is not None:
             return self.holder.priority
         return self.route.priority
 
     def get_organisation(self) -> str:
-        """Return the organisation's name; empty without a key."""
+        """Return the organisation's name; empty without a known key."""
         return '' if self.holder is None else self.holder.organisation
--- a/packages/ragworthollow-daemon/src/ragworthollow_daemon/gateway/request_runner.py
+++ b/packages/ragworthollow-daemon/src/ragworthollow_daemon/gateway/request_runner.py
@@ -1,4 +1,4 @@
-"""Run requests through their stages to their upstream."""
+"""Run requests through their stages and forward them to an upstream."""
 
 import asyncio
 from collections.abc import Callable
@@ -28,14 +28,14 @@
 
 class RequestRunner:
     """
-    See admitted requests to their end.
+    Run admitted requests to completion.
 
     Parameters
     ----------
     context : GatewayContext
-        Of this process.
+        Shared state of this process.
     pieces : PieceClient
-        Has stage work done.
+        Client that runs the stages of requests.
     """
 
     def __init__(
@@ -58,19 +58,19 @@
         progress: AnswerProgress,
     ) -> Answered:
         """
-        Serve a request, late if it cannot be in time.
+        Serve a request, deferring it if it cannot meet its objective.
 
         Parameters
         ----------
         job : RequestJob
             The request.
         progress : AnswerProgress
-            Told how far its answer is.
+            Updated with the progress of the answer.
 
         Returns
         -------
         Result
-            The answer, or why there is none.
+            The response, or the failure.
         """
         hopeless = self._refuse_for_good(job)
         if hopeless is not None:
@@ -101,7 +101,7 @@
         return Err(refusal)
 
     def _refuse_for_good(self, job: RequestJob) -> UpstreamFailure | None:
-        """Say why waiting for capacity would not help; None when it may."""
+        """Return a rejection that deferral cannot avoid, or None."""
         left_ms = self._context.quarantine.get_left_ms(job.fingerprint)
         if left_ms:
             return make_refusal(
@@ -133,7 +133,7 @@
         return None
 
     def _is_away_from_home(self, job: RequestJob, pool: str) -> bool:
-        """Tell whether all instances of a pool are in other regions."""
+        """Tell whether all instances of a pool are in disallowed regions."""
         homes = job.get_homes()
         if homes is None:
             return False
@@ -147,13 +147,13 @@
         job: RequestJob,
         way: StageWay,
     ) -> UpstreamFailure | None:
-        """Say why a request cannot begin now; None when it can."""
+        """Return why a request cannot start now, or None if it can."""
         if not self._context.directory.get_pool(job.pool):
             return make_refusal(Reason.no_instance, job.pool)
         return refuse_late(job, way, self._pieces.get_waits_ms)
 
     async def _defer(self, job: RequestJob, way: StageWay) -> bool:
-        """Wait for spare capacity; False when there is none in time."""
+        """Wait for spare capacity; return False if none was found in time."""
         may_begin = await self._context.stop.run(
             self.deferral.wait(job, way),
         )
@@ -200,7 +200,7 @@
 
 
 def _may_be_deferred(answered: Answered, stages: StageWork) -> bool:
-    """Tell whether stage work was given up before anything was spent."""
+    """Tell whether stages were abandoned before producing any result."""
     if not isinstance(answered, Err) or stages.has_spent:
         return False
     return answered.err_value.reason in _GIVEN_UP
--- a/packages/ragworthollow-daemon/src/ragworthollow_daemon/gateway/stage_way.py
+++ b/packages/ragworthollow-daemon/src/ragworthollow_daemon/gateway/stage_way.py
@@ -9,16 +9,18 @@
 
 class StageWay:
     """
-    Know the way of one request from its stages to its first event.
+    Estimate the time from the stages of a request to its first event.
 
     Parameters
     ----------
     job : RequestJob
         The request.
     answer_ms : float
-        Expected time from the end of all stages to the first event.
+        Expected time in milliseconds from the end of the last stage to the
+        first event of the answer.
     is_deferred : bool
-        Whether it begins late, behind what can still be in time.
+        Whether the request was deferred, so that it ranks behind requests
+        that can still meet their objective.
     """
 
     def __init__(
@@ -36,7 +38,7 @@
         self._answer_ms = answer_ms
 
     def begin_late(self) -> 'StageWay':
-        """Return the way of a request that was deferred and begins now."""
+        """Return the estimates for the request as a deferred one."""
         return StageWay(
             job=self._job,
             answer_ms=self._answer_ms,
@@ -48,19 +50,19 @@
         waits_ms: Mapping[str, float],
         now_ms: float,
     ) -> float:
-        """Estimate by how much it would be late if it had just come."""
+        """Estimate the lateness in milliseconds as if it had just arrived."""
         passed_ms = now_ms + self._job.route.objective_ms
         late_ms = self.find_lateness_ms(waits_ms)
         return late_ms + self._job.get_goal_ms() - passed_ms
 
     def get_latest_start_ms(self) -> float:
-        """Return the latest start that still serves the caller, if late."""
+        """Return the latest start for an answer before the caller gives up."""
         way_ms = self._estimate_way_ms({}) + self._answer_ms
         margin_ms = global_settings.DEFERRAL_MARGIN_MS
         return self._get_caller_end_ms() - way_ms - margin_ms
 
     def _get_caller_end_ms(self) -> float:
-        """Return when the caller leaves if it has got nothing."""
+        """Return when the caller gives up if it has received no event."""
         patience_ms = max(
             global_settings.CALLER_PATIENCE_LEAST_MS,
             self._job.route.objective_ms * global_settings.CALLER_PATIENCE,
@@ -68,7 +70,7 @@
         return min(self._job.deadline_ms, self._job.received_ms + patience_ms)
 
     def get_readers(self, position: int) -> list[int]:
-        """Return the active stages that read the results of one."""
+        """Return the active stages that read the results of a stage."""
         return [
             reader
             for reader in self.active
@@ -77,19 +79,19 @@
 
     def find_lateness_ms(self, waits_ms: Mapping[str, float]) -> float:
         """
-        Estimate by how much a request that begins now misses its objective.
+        Estimate by how much a request that starts now misses its objective.
 
         Parameters
         ----------
         waits_ms : mapping of str to float
-            Expected waits by pool.
+            Expected waits by pool, in milliseconds.
 
         Returns
         -------
         float
-            Milliseconds, negative when it should be in time.  Minus infinity
-            when no pool has a queue: an estimate of the work alone refuses
-            nobody.
+            Milliseconds, negative if the request should meet its objective.
+            Minus infinity if the waits add nothing to the time of the stages:
+            an estimate of the processing time alone never rejects a request.
         """
         way_ms = self._estimate_way_ms(waits_ms)
         if way_ms <= self._estimate_way_ms({}):
@@ -98,16 +100,16 @@
         return ends_ms - self._job.get_goal_ms()
 
     def get_due_ms(self, position: int) -> float:
-        """Return the latest start that still meets the objective."""
+        """Return the latest start of a stage that meets the objective."""
         rest_ms = self._answer_ms + self._estimate_rest_ms(position)
         return self._job.get_goal_ms() - rest_ms
 
     def get_give_up_ms(self, position: int) -> float:
         """
-        Return when a first stage that has not begun is given up.
+        Return when a first stage that has not started is abandoned.
 
-        One whose caller came back too late for its objective was let in to
-        be served late, in time that nobody else needs.
+        If the caller retried too late to meet the objective, the request was
+        admitted in order to be served late with otherwise unused capacity.
         """
         due_ms = self.get_due_ms(position)
         if due_ms < self._job.received_ms:
@@ -115,7 +117,7 @@
         return due_ms + global_settings.PIECE_GIVE_UP_MS
 
     def get_expiry_ms(self) -> float:
-        """Return when waiting for stage work is given up."""
+        """Return when waiting for the results of stages ends."""
         if self._is_deferred:
             return self._get_caller_end_ms()
         patience_ms = (
@@ -128,10 +130,10 @@
 
     def _estimate_way_ms(self, waits_ms: Mapping[str, float]) -> float:
         """
-        Estimate how long all stages take from now.
+        Estimate how long all stages take from now, in milliseconds.
 
-        A wait that is told now has partly passed when the request arrives
-        at a later stage.
+        Part of a pool's current wait has passed by the time the request
+        reaches a later stage.
         """
         ends_ms: dict[int, float] = {}
         for position in self.active:
@@ -146,7 +148,7 @@
         return max(ends_ms.values(), default=0)
 
     def _estimate_rest_ms(self, position: int) -> float:
-        """Estimate the way from the start of a stage to the end of all."""
+        """Estimate the time from the start of a stage to the end of all."""
         later_ms = [
             self._estimate_rest_ms(reader)
             for reader in self.get_readers(position)
@@ -154,7 +156,7 @@
         return self._estimate_own_ms(position) + max(later_ms, default=0)
 
     def _estimate_own_ms(self, position: int) -> float:
-        """Estimate the time of a stage's call."""
+        """Estimate the time that a call for a stage takes."""
         pool = self._job.table.pools.get(self._stages[position].pool)
         if pool is None or pool.pieces is None:
             return 0
--- a/packages/ragworthollow-daemon/src/ragworthollow_daemon/gateway/stage_work.py
+++ b/packages/ragworthollow-daemon/src/ragworthollow_daemon/gateway/stage_work.py
@@ -1,4 +1,4 @@
-"""Do the work that a request needs before it can run."""
+"""Run the stages that precede the answer to a request."""
 
 import asyncio
 
@@ -29,13 +29,13 @@
     Parameters
     ----------
     client : PieceClient
-        Has pieces done.
+        Client that runs pieces.
     job : RequestJob
         The request.
     way : StageWay
-        What its stages are expected to take.
+        Estimates of the time that its stages take.
     failure_domain : str
-        Where the request itself is expected to run.
+        Failure domain in which the request itself is expected to run.
     """
 
     def __init__(
@@ -57,13 +57,13 @@
 
     async def run(self) -> Result[tuple[str, ...], UpstreamFailure]:
         """
-        Do all stages, each as soon as those before it are done.
+        Run all stages, each as soon as the stages it depends on are done.
 
         Returns
         -------
         Result
-            Handles of the results that the request itself reads, or why
-            there are none.
+            Handles of the results that the request itself reads, or the
+            failure of a stage.
         """
         tasks: dict[int, asyncio.Task[UpstreamFailure | None]] = {}
         for position in self._active:
@@ -72,7 +72,7 @@
                 self._run_stage(position, tasks),
             )
         try:
-            # One failure ends all: the rest would be made in vain.
+            # After one failure, the remaining results would be useless.
             for ended in asyncio.as_completed(tasks.values()):
                 failure = await ended
                 if failure is not None:
@@ -85,7 +85,7 @@
         return Ok(self._collect())
 
     def free(self) -> None:
-        """Give all results up."""
+        """Release all results."""
         for position in tuple(self._handles):
             self._free_stage(position)
 
@@ -111,7 +111,7 @@
         self._client.free(stage.pool, self._handles.pop(position, ()))
 
     def _collect(self) -> tuple[str, ...]:
-        """Return what no other active stage reads."""
+        """Return the results that no other active stage reads."""
         return tuple(
             handle
             for position in self._active
@@ -124,7 +124,7 @@
         position: int,
         tasks: dict[int, asyncio.Task[UpstreamFailure | None]],
     ) -> UpstreamFailure | None:
-        # One turn of the loop, so that all stages have their tasks.
+        # Yield to the event loop once, so that all stages have their tasks.
         await asyncio.sleep(0)
         stage = self._job.route.stages[position]
         read = [before for before in stage.after if before in tasks]
@@ -152,15 +152,15 @@
         position: int,
         read: list[int],
     ) -> dict[str, float]:
-        """Count the bytes between a stage and what lies in each domain."""
+        """Sum the bytes that a stage exchanges with each failure domain."""
         stages = self._job.route.stages
         counts = self._job.terms.piece_counts
         weights = {
             domain: lying_bytes * counts[position]
             for domain, lying_bytes in self._weigh_results(read).items()
         }
-        # Stages follow the results that they read; only those of the last one
-        # are read where the request itself runs.
+        # Stages are placed near the results that they read; only the results
+        # of final stages are read where the request itself runs.
         if not self._way.get_readers(position):
             made_bytes = stages[position].result_bytes * counts[position]
             home = self._failure_domain
@@ -168,7 +168,7 @@
         return weights
 
     def _weigh_results(self, positions: list[int]) -> dict[str, float]:
-        """Count the bytes of results by the domain in which they lie."""
+        """Sum the bytes of results by the domain in which they are stored."""
         weights: dict[str, float] = {}
         for position in positions:
             stage = self._job.route.stages[position]
@@ -178,7 +178,7 @@
         return weights
 
     def _free_read(self, read: list[int]) -> None:
-        """Free results that every stage which needs them has read."""
+        """Release results once all stages that need them have read them."""
         for before in read:
             if all(
                 reader in self._handles
