--- a/packages/ragworthollow-daemon/src/ragworthollow_daemon/gateway/admission.py
+++ b/packages/ragworthollow-daemon/src/ragworthollow_daemon/gateway/admission.py
@@ -1,4 +1,4 @@
-"""Admit requests from callers or reject them."""
+"""Admit requests from callers or refuse them."""
 
 import asyncio
 
@@ -19,7 +19,7 @@
 
 _STEP = 'front'
 # Length of the key hash prefix in log lines; enough to distinguish keys.
-_KEY_DIGITS = 12
+_KEY_HASH_DIGITS = 12
 
 
 class Admission:
@@ -34,7 +34,7 @@
 
     def __init__(self, *, context: GatewayContext) -> None:
         self._context = context
-        self._usual_limits = UsualLimits()
+        self._typical_limits = UsualLimits()
 
     async def admit(
         self,
@@ -42,7 +42,7 @@
         received_ms: float,
     ) -> Result[RequestJob, UpstreamFailure]:
         """
-        Read the body of a request, then admit or reject it.
+        Read the body of a request, then admit or refuse it.
 
         Parameters
         ----------
@@ -55,78 +55,90 @@
         Returns
         -------
         Result
-            The admitted request, or the reason for its rejection.
+            The admitted request, or the refusal.
         """
-        terms = read_terms(request.headers)
-        table = await self._wait_configured(terms)
+        request_parameters = read_terms(request.headers)
+        table = await self._wait_for_route_table(request_parameters)
         if table is None:
             return _refuse(Reason.not_configured, request.remote)
         path = request.raw_path.partition('?')[0]
         route = table.match(request.headers.get('Host', ''), path)
         if route is None:
             return _refuse(Reason.unknown_route, path)
-        identified = _identify(table, route, terms.key)
-        if isinstance(identified, Err):
-            return identified
+        holder_result = _find_key_holder(table, route, request_parameters.key)
+        if isinstance(holder_result, Err):
+            return holder_result
         limit_ms = route.timeout_ms
-        if terms.time_limit_ms is not None:
-            limit_ms = min(limit_ms, terms.time_limit_ms)
-        received = await _read_body(
+        if request_parameters.time_limit_ms is not None:
+            limit_ms = min(limit_ms, request_parameters.time_limit_ms)
+        body_result = await _read_body(
             request, table.limits.body_bytes, limit_ms, route.name
         )
-        if isinstance(received, Err):
-            return received
+        if isinstance(body_result, Err):
+            return body_result
         if not self._context.stop.accepts(route, limit_ms, get_boottime_ms()):
-            return Err(make_stopping(route.name, Outcome.not_run))
+            return Err(make_shutdown_failure(route.name, Outcome.not_run))
         return Ok(
             RequestJob(
                 request=request,
-                body=received.ok_value,
-                terms=terms,
+                body=body_result.ok_value,
+                terms=request_parameters,
                 route=route,
-                holder=identified.ok_value,
+                holder=holder_result.ok_value,
                 pool=self._choose_pool(route),
                 table=table,
-                waited_ms=self._find_waited_ms(route, terms),
-                fingerprint=_identify_work(
+                waited_ms=self._find_waited_ms(route, request_parameters),
+                fingerprint=_make_work_fingerprint(
                     request,
-                    identified.ok_value,
-                    received.ok_value,
+                    holder_result.ok_value,
+                    body_result.ok_value,
                 ),
                 received_ms=received_ms,
                 deadline_ms=received_ms + limit_ms,
             ),
         )
 
-    async def _wait_configured(self, terms: RequestTerms) -> RouteTable | None:
+    async def _wait_for_route_table(
+        self,
+        request_parameters: RequestTerms,
+    ) -> RouteTable | None:
         """
         Return the active route table, waiting for the first one if needed.
 
         When all gateways restart before the store is available again, none
-        of them has any routes, so callers that are rejected only retry at
-        gateways without routes.  Most of these outages end within a second
+        of them has any routes, so refused callers can only retry at gateways
+        without routes either.  Most of these outages end within a second
         or two.
         """
         context = self._context
-        if context.table is None and terms.time_limit_ms is not None:
+        if (
+            context.table is None
+            and request_parameters.time_limit_ms is not None
+        ):
             share = global_settings.CONFIGURATION_WAIT_SHARE
-            await context.wait_table(terms.time_limit_ms * share)
+            await context.wait_table(request_parameters.time_limit_ms * share)
         return context.table
 
-    def _find_waited_ms(self, route: Route, terms: RequestTerms) -> float:
-        if terms.time_limit_ms is None:
+    def _find_waited_ms(
+        self,
+        route: Route,
+        request_parameters: RequestTerms,
+    ) -> float:
+        if request_parameters.time_limit_ms is None:
             return 0
-        return self._usual_limits.note(route.name, terms.time_limit_ms)
+        return self._typical_limits.note(
+            route.name, request_parameters.time_limit_ms
+        )
 
     def _choose_pool(self, route: Route) -> str:
-        weights = [share.weight for share in route.shares]
+        weights = [weighted_pool.weight for weighted_pool in route.shares]
         if not any(weights):
             return route.shares[0].pool
         chosen = self._context.rng.choices(route.shares, weights)
         return chosen[0].pool
 
 
-def make_stopping(peer: str, outcome: Outcome) -> UpstreamFailure:
+def make_shutdown_failure(peer: str, outcome: Outcome) -> UpstreamFailure:
     """Make the failure of a request that is cut off by a shutdown."""
     return UpstreamFailure(
         outcome=outcome,
@@ -162,25 +174,25 @@
     return Err(make_refusal(reason, peer, detail))
 
 
-def _name_key(key: str) -> str:
+def _describe_key(key: str) -> str:
     """Describe a key for operators without revealing it."""
     if not key:
         return 'no key'
-    return f'key with SHA-256 {hash_secret(key)[:_KEY_DIGITS]}'
+    return f'key with SHA-256 {hash_secret(key)[:_KEY_HASH_DIGITS]}'
 
 
-def _identify(
+def _find_key_holder(
     table: RouteTable,
     route: Route,
     key: str,
 ) -> Result[KeyHolder | None, UpstreamFailure]:
     holder = table.identify(key) if key else None
     if holder is None and table.requires_key and not route.is_public:
-        return _refuse(Reason.unauthorized, route.name, _name_key(key))
+        return _refuse(Reason.unauthorized, route.name, _describe_key(key))
     return Ok(holder)
 
 
-def _identify_work(
+def _make_work_fingerprint(
     request: web.BaseRequest,
     holder: KeyHolder | None,
     body: bytes,
@@ -208,7 +220,7 @@
     """
     try:
         async with asyncio.timeout(limit_ms / 1000):
-            body = await _collect(request, limit_bytes)
+            body = await _collect_body(request, limit_bytes)
     except TimeoutError:
         return _refuse(Reason.body_too_slow, route_name)
     if body is None:
@@ -216,7 +228,7 @@
     return Ok(body)
 
 
-async def _collect(
+async def _collect_body(
     request: web.BaseRequest,
     limit_bytes: int,
 ) -> bytes | None:
--- a/packages/ragworthollow-daemon/src/ragworthollow_daemon/gateway/asker_book.py
+++ b/packages/ragworthollow-daemon/src/ragworthollow_daemon/gateway/asker_book.py
@@ -1,4 +1,4 @@
-"""Know which gateways still have the requests whose pieces came here."""
+"""Track the gateways that sent pieces to this process."""
 
 from dataclasses import dataclass
 
@@ -6,46 +6,48 @@
 
 
 @dataclass(kw_only=True, slots=True)
-class _Asker:
+class _Requester:
     instance: str
-    heard_ms: float
+    received_ms: float
 
 
 class AskerBook:
     """
-    Tell which gateways are gone that asked for pieces.
+    Detect the termination of gateways that requested pieces.
 
-    The results that requests of a killed gateway hold take the space of
-    their makers until they expire.  A pool of large results works at half of
-    its speed for these seconds, in which the callers of the killed gateway
-    come back to the others.
+    Results in use by requests of a killed gateway occupy space at their
+    producers until they expire.  A pool with large results runs at half its
+    speed for these seconds, in which the callers of the killed gateway also
+    retry at the others.
     """
 
     def __init__(self) -> None:
-        self._askers: dict[str, _Asker] = {}
+        self._requesters: dict[str, _Requester] = {}
 
     def hear(self, instance: str, incarnation: str, now_ms: float) -> None:
-        """Note a ping; an earlier process of that name is gone."""
-        self._askers[incarnation] = _Asker(instance=instance, heard_ms=now_ms)
-        for known, asker in self._askers.items():
-            if asker.instance == instance and known != incarnation:
-                asker.heard_ms = float('-inf')
+        """Record a ping and terminate earlier incarnations of the instance."""
+        self._requesters[incarnation] = _Requester(
+            instance=instance, received_ms=now_ms
+        )
+        for known, requester in self._requesters.items():
+            if requester.instance == instance and known != incarnation:
+                requester.received_ms = float('-inf')
 
     def meet(self, incarnation: str, now_ms: float) -> None:
-        """Note a gateway that has asked for pieces, if it is a new one."""
-        self._askers.setdefault(
+        """Record that a gateway requested pieces, unless it is known."""
+        self._requesters.setdefault(
             incarnation,
-            _Asker(instance='', heard_ms=now_ms),
+            _Requester(instance='', received_ms=now_ms),
         )
 
     def take_gone(self, now_ms: float) -> list[str]:
-        """Return the incarnations that are gone, each once."""
+        """Return terminated incarnations and remove them."""
         oldest_ms = now_ms - global_settings.ASKER_SILENT_MS
-        gone = [
+        terminated = [
             incarnation
-            for incarnation, asker in self._askers.items()
-            if asker.heard_ms < oldest_ms
+            for incarnation, requester in self._requesters.items()
+            if requester.received_ms < oldest_ms
         ]
-        for incarnation in gone:
-            self._askers.pop(incarnation)
-        return gone
+        for incarnation in terminated:
+            self._requesters.pop(incarnation)
+        return terminated
--- a/packages/ragworthollow-daemon/src/ragworthollow_daemon/gateway/call_space.py
+++ b/packages/ragworthollow-daemon/src/ragworthollow_daemon/gateway/call_space.py
@@ -1,4 +1,4 @@
-"""Account for the space that the results of calls take."""
+"""Account for the space that the results of calls occupy."""
 
 from collections.abc import Sequence
 
@@ -17,12 +17,12 @@
 
 class CallSpace:
     """
-    Note what ended calls tell of the space at their instances.
+    Record the space that the results of finished calls occupy.
 
     Parameters
     ----------
     context : GatewayContext
-        Of this process.
+        Shared state of this process.
     """
 
     def __init__(self, *, context: GatewayContext) -> None:
@@ -31,54 +31,62 @@
     def note_results(
         self,
         pool: str,
-        gate: PieceGate,
+        scheduler: PieceGate,
         call: PieceCall,
-        found: Sequence[PieceResult],
+        results: Sequence[PieceResult],
     ) -> None:
         """
-        Take the results of a call.
+        Record the results of a call.
 
-        Refused pieces tell how much space unknown results take: what the
-        account had as free and these did not get.
+        If the instance had no space for some of the pieces, the free space
+        that it was assumed to have beyond the results it did store must be
+        occupied by untracked results.
         """
-        until_ms = get_monotonic_ms() + self._get_kept_ms(pool)
-        made = [
-            _describe(call, waiting, one.handle, until_ms)
-            for waiting, one in zip(call.waiting, found, strict=True)
-            if one.outcome is PieceOutcome.done
+        expires_ms = get_monotonic_ms() + self._get_result_ttl_ms(pool)
+        stored_results = [
+            _make_stored_result(call, waiting, result.handle, expires_ms)
+            for waiting, result in zip(call.waiting, results, strict=True)
+            if result.outcome is PieceOutcome.done
         ]
-        for result in made:
-            gate.room.keep(result)
-        if any(one.outcome is PieceOutcome.no_room for one in found):
-            made_bytes = sum(one.result_bytes for one in made)
-            gate.room.note_unknown(
+        for stored_result in stored_results:
+            scheduler.room.keep(stored_result)
+        if any(result.outcome is PieceOutcome.no_room for result in results):
+            stored_bytes = sum(stored.result_bytes for stored in stored_results)
+            scheduler.room.note_unknown(
                 call.instance.instance,
-                int(max(0, call.free_bytes - made_bytes)),
+                int(max(0, call.free_bytes - stored_bytes)),
                 get_monotonic_ms() + global_settings.ROOM_RETRY_MS,
             )
 
-    def note_lost(self, pool: str, gate: PieceGate, call: PieceCall) -> None:
-        """Account for results whose names are lost with their answer."""
-        until_ms = get_monotonic_ms() + self._get_kept_ms(pool)
+    def note_lost(
+        self,
+        pool: str,
+        scheduler: PieceGate,
+        call: PieceCall,
+    ) -> None:
+        """Account for results whose handles were lost with the response."""
+        expires_ms = get_monotonic_ms() + self._get_result_ttl_ms(pool)
         for number, waiting in enumerate(call.waiting):
             handle = f'{call.instance.instance}/{call.started_ms}/{number}'
-            gate.room.keep(_describe(call, waiting, handle, until_ms))
+            scheduler.room.keep(
+                _make_stored_result(call, waiting, handle, expires_ms)
+            )
 
-    def _get_kept_ms(self, pool: str) -> float:
-        described = self._context.table.pools[pool]
-        return described.pieces.kept_ms
+    def _get_result_ttl_ms(self, pool: str) -> float:
+        pool_config = self._context.table.pools[pool]
+        return pool_config.pieces.kept_ms
 
 
-def _describe(
+def _make_stored_result(
     call: PieceCall,
     waiting: WaitingPiece,
     handle: str,
-    until_ms: float,
+    expires_ms: float,
 ) -> KeptResult:
     return KeptResult(
         handle=handle,
         instance=call.instance.instance,
         result_bytes=waiting.piece.result_bytes,
-        until_ms=until_ms,
+        until_ms=expires_ms,
         asker=waiting.piece.asker,
     )
--- a/packages/ragworthollow-daemon/src/ragworthollow_daemon/gateway/deferral.py
+++ b/packages/ragworthollow-daemon/src/ragworthollow_daemon/gateway/deferral.py
@@ -8,7 +8,7 @@
 from ragworthollow.logs.events import log_event
 from ragworthollow.utils import get_monotonic_ms
 from ragworthollow_daemon.gateway.context import GatewayContext
-from ragworthollow_daemon.gateway.deferral_chance import DeferralChance
+from ragworthollow_daemon.gateway.deferral_chance import DeferralStartRate
 from ragworthollow_daemon.gateway.lateness import GetWaits
 from ragworthollow_daemon.gateway.request_job import RequestJob
 from ragworthollow_daemon.gateway.stage_way import StageWay
@@ -18,32 +18,32 @@
 
 
 @dataclass(frozen=True, kw_only=True, slots=True, eq=False)
-class _Deferred:
+class _DeferredRequest:
     """
-    A deferred request.
+    Hold a deferred request.
 
     Attributes
     ----------
     job : RequestJob
         The request.
-    way : StageWay
-        Estimates of the time that its stages take.
-    latest_ms : float
-        Latest start with which the answer still reaches the caller before it
+    estimate : StageWay
+        Estimates of the time that the request takes.
+    latest_start_ms : float
+        Latest start with which the response still begins before the caller
         gives up, in milliseconds on the monotonic clock.
-    turn : Future of bool
+    start_signal : Future of bool
         Whether the request may start.
     """
 
     job: RequestJob
-    way: StageWay
-    latest_ms: float
-    turn: asyncio.Future[bool]
+    estimate: StageWay
+    latest_start_ms: float
+    start_signal: asyncio.Future[bool]
 
 
 class Deferral:
     """
-    Queue of requests that are served late, with otherwise unused capacity.
+    Queue requests that are served late, with otherwise unused capacity.
 
     Bursts last for seconds, while callers wait for three times their
     objective or longer, so pools can often serve a request that would miss
@@ -51,9 +51,9 @@
     request, and once started it ranks behind requests that can still meet
     their objective, so it takes little capacity from them.  If few of the
     recently deferred requests were started, the shortage lasts longer than
-    a burst, and new requests are rejected immediately.
+    a burst, and further requests are refused immediately instead of deferred.
 
-    Over ten days of heavy load, 385 requests were rejected with deferral and
+    Over ten days of heavy load, 385 requests were refused with deferral and
     634 without it, while as many requests met their objective.
 
     Parameters
@@ -73,11 +73,11 @@
     ) -> None:
         self._context = context
         self._get_waits_ms = get_waits_ms
-        self._waiting: list[_Deferred] = []
-        self._begun_ms = float('-inf')
-        self._chance = DeferralChance()
+        self._queue: list[_DeferredRequest] = []
+        self._last_start_ms = float('-inf')
+        self._start_rate = DeferralStartRate()
 
-    async def wait(self, job: RequestJob, way: StageWay) -> bool:
+    async def wait(self, job: RequestJob, estimate: StageWay) -> bool:
         """
         Wait for spare capacity.
 
@@ -85,8 +85,8 @@
         ----------
         job : RequestJob
             The request.
-        way : StageWay
-            Estimates of the time that its stages take.
+        estimate : StageWay
+            Estimates of the time that the request takes.
 
         Returns
         -------
@@ -95,60 +95,72 @@
             up before the answer.
         """
         now_ms = get_monotonic_ms()
-        latest_ms = way.get_latest_start_ms()
-        if len(self._waiting) >= self._count_before(latest_ms, now_ms):
+        latest_start_ms = estimate.get_latest_start_ms()
+        if len(self._queue) >= self._count_expected_starts(
+            latest_start_ms, now_ms
+        ):
             return False
-        one = _Deferred(
+        deferred = _DeferredRequest(
             job=job,
-            way=way,
-            latest_ms=latest_ms,
-            turn=asyncio.get_running_loop().create_future(),
+            estimate=estimate,
+            latest_start_ms=latest_start_ms,
+            start_signal=asyncio.get_running_loop().create_future(),
         )
-        self._waiting.append(one)
+        self._queue.append(deferred)
         self._context.metrics.count_event('deferred')
         try:
-            may_begin = await one.turn
+            may_begin = await deferred.start_signal
         finally:
-            self._waiting.remove(one)
-        self._chance.note(get_monotonic_ms(), may_begin=may_begin)
-        self._log(one, now_ms, may_begin=may_begin)
+            self._queue.remove(deferred)
+        self._start_rate.record(get_monotonic_ms(), may_begin=may_begin)
+        self._log(deferred, now_ms, may_begin=may_begin)
         return may_begin
 
     def advance(self) -> None:
-        """Start a request if there is capacity; reject expired requests."""
+        """Start a request if there is capacity; refuse expired requests."""
         now_ms = get_monotonic_ms()
-        for one in self._waiting:
-            if one.latest_ms <= now_ms:
-                _settle(one, may_begin=False)
-        # Scheduler hosts report their waits with each ping.  A second request
-        # that starts before the next ping would not see the load of the first.
-        if now_ms - self._begun_ms < global_settings.HOST_PING_MS:
+        for deferred in self._queue:
+            if deferred.latest_start_ms <= now_ms:
+                _resolve(deferred, may_begin=False)
+        # Hosts report their waits once per ping: a request started before the
+        # next ping would ignore the load of the previous one.
+        if now_ms - self._last_start_ms < global_settings.HOST_PING_MS:
             return
-        for one in sorted(self._waiting, key=_rank):
-            if not one.turn.done() and self._has_capacity(one, now_ms):
-                self._begun_ms = now_ms
-                _settle(one, may_begin=True)
+        for deferred in sorted(self._queue, key=_rank):
+            if not deferred.start_signal.done() and self._has_capacity(
+                deferred, now_ms
+            ):
+                self._last_start_ms = now_ms
+                _resolve(deferred, may_begin=True)
                 return
 
-    def _has_capacity(self, one: _Deferred, now_ms: float) -> bool:
-        """Tell whether a new request of the lowest priority would be admitted."""
-        if not self._context.directory.get_pool(one.job.pool):
+    def _has_capacity(self, deferred: _DeferredRequest, now_ms: float) -> bool:
+        """Tell whether a new request of the lowest priority is admissible."""
+        if not self._context.directory.get_pool(deferred.job.pool):
             return False
-        pools = {stage.pool for stage in one.job.route.stages}
+        pools = {stage.pool for stage in deferred.job.route.stages}
         waits_ms = self._get_waits_ms(pools, _LEAST_URGENT)
-        late_ms = one.way.find_lateness_if_new_ms(waits_ms, now_ms)
-        margin_ms = one.job.route.objective_ms * global_settings.DEFERRAL_SPARE
+        late_ms = deferred.estimate.find_lateness_if_new_ms(waits_ms, now_ms)
+        margin_ms = (
+            deferred.job.route.objective_ms * global_settings.DEFERRAL_SPARE
+        )
         return late_ms <= -margin_ms
 
-    def _count_before(self, latest_ms: float, now_ms: float) -> int:
+    def _count_expected_starts(
+        self,
+        latest_start_ms: float,
+        now_ms: float,
+    ) -> int:
         """Return how many requests are expected to start before a time."""
-        turns = (latest_ms - now_ms) / global_settings.HOST_PING_MS
-        return math.floor(turns * self._chance.get(now_ms))
+        opportunities = (
+            latest_start_ms - now_ms
+        ) / global_settings.HOST_PING_MS
+        return math.floor(opportunities * self._start_rate.get(now_ms))
 
     def _log(
         self,
-        one: _Deferred,
-        began_ms: float,
+        deferred: _DeferredRequest,
+        deferred_since_ms: float,
         *,
         may_begin: bool,
     ) -> None:
@@ -157,18 +169,18 @@
         log_event(
             'deferral_ended',
             step=_STEP,
-            request_id=one.job.terms.request_id,
-            route=one.job.route.name,
+            request_id=deferred.job.terms.request_id,
+            route=deferred.job.route.name,
             may_begin=may_begin,
-            deferred_ms=round(get_monotonic_ms() - began_ms),
-            waiting=len(self._waiting),
+            deferred_ms=round(get_monotonic_ms() - deferred_since_ms),
+            waiting=len(self._queue),
         )
 
 
-def _rank(one: _Deferred) -> tuple[int, float]:
-    return (one.job.get_priority(), one.latest_ms)
+def _rank(deferred: _DeferredRequest) -> tuple[int, float]:
+    return (deferred.job.get_priority(), deferred.latest_start_ms)
 
 
-def _settle(one: _Deferred, *, may_begin: bool) -> None:
-    if not one.turn.done():
-        one.turn.set_result(may_begin)
+def _resolve(deferred: _DeferredRequest, *, may_begin: bool) -> None:
+    if not deferred.start_signal.done():
+        deferred.start_signal.set_result(may_begin)
--- a/packages/ragworthollow-daemon/src/ragworthollow_daemon/gateway/front.py
+++ b/packages/ragworthollow-daemon/src/ragworthollow_daemon/gateway/front.py
@@ -15,7 +15,10 @@
 from ragworthollow_daemon.gateway.piece_client import PieceClient
 from ragworthollow_daemon.gateway.refusals import refuse
 from ragworthollow_daemon.gateway.request_job import RequestJob
-from ragworthollow_daemon.gateway.request_runner import Answered, RequestRunner
+from ragworthollow_daemon.gateway.request_runner import (
+    RequestRunner,
+    ResponseResult,
+)
 from ragworthollow_daemon.gateway.stream_relay import StreamBroken
 from ragworthollow_daemon.gateway.upstream_failure import UpstreamFailure
 
@@ -50,12 +53,12 @@
         with self._context.drain.serving():
             admitted = await self._admission.admit(request, received_ms)
             if isinstance(admitted, Err):
-                answered: Answered = admitted
+                result: ResponseResult = admitted
                 job = None
             else:
                 job = admitted.ok_value
-                answered = await self._serve_present(job)
-            response = self._finish(request, received_ms, job, answered)
+                result = await self._run_while_connected(job)
+            response = self._finish(request, received_ms, job, result)
         if self._context.drain.is_draining and not response.prepared:
             response.force_close()
         return response
@@ -64,14 +67,14 @@
         """Start deferred requests if there is capacity for them."""
         self._runner.deferral.advance()
 
-    async def _serve_present(self, job: RequestJob) -> Answered:
+    async def _run_while_connected(self, job: RequestJob) -> ResponseResult:
         """Run a request; record a cancellation if the caller disconnects."""
         progress = AnswerProgress(step='stages', peer=job.pool)
         try:
             return await self._runner.run(job, progress)
-        except StreamBroken as broken:
-            self._note_broken(job, broken.failure)
-            return Ok(broken.response)
+        except StreamBroken as aborted:
+            self._record_aborted_stream(job, aborted.failure)
+            return Ok(aborted.response)
         except (asyncio.CancelledError, ConnectionError) as error:
             self._context.metrics.count_request(
                 job.route.name,
@@ -92,7 +95,11 @@
             )
             raise
 
-    def _note_broken(self, job: RequestJob, failure: UpstreamFailure) -> None:
+    def _record_aborted_stream(
+        self,
+        job: RequestJob,
+        failure: UpstreamFailure,
+    ) -> None:
         self._context.metrics.count_event('stream_broken')
         log_event(
             'stream_broken',
@@ -110,12 +117,12 @@
         request: web.BaseRequest,
         received_ms: float,
         job: RequestJob | None,
-        answered: Answered,
+        result: ResponseResult,
     ) -> web.StreamResponse:
         elapsed_ms = get_monotonic_ms() - received_ms
-        failure = answered.err_value if isinstance(answered, Err) else None
+        failure = result.err_value if isinstance(result, Err) else None
         if failure is None:
-            response = answered.ok_value
+            response = result.ok_value
             outcome, reason = Outcome.done, None
         else:
             response = refuse(failure, self._context.rng)
@@ -123,12 +130,14 @@
         route = '' if job is None else job.route.name
         self._context.metrics.count_request(route, outcome, reason)
         self._context.metrics.latency.record('request', elapsed_ms)
-        terms = read_terms(request.headers) if job is None else job.terms
+        request_parameters = (
+            read_terms(request.headers) if job is None else job.terms
+        )
         table = self._context.table
         log_event(
             'request_ended',
             step=_STEP if failure is None else failure.step,
-            request_id=terms.request_id,
+            request_id=request_parameters.request_id,
             fingerprint='' if job is None else job.fingerprint,
             route=route,
             pool='' if job is None else job.pool,
@@ -146,8 +155,8 @@
             peer=None if failure is None else failure.peer,
             detail=None if failure is None else failure.detail,
             elapsed_ms=round(elapsed_ms),
-            time_limit_ms=terms.time_limit_ms,
+            time_limit_ms=request_parameters.time_limit_ms,
             waited_ms=None if job is None else round(job.waited_ms),
-            pieces=terms.piece_counts,
+            pieces=request_parameters.piece_counts,
         )
         return response
--- a/packages/ragworthollow-daemon/src/ragworthollow_daemon/gateway/gate_book.py
+++ b/packages/ragworthollow-daemon/src/ragworthollow_daemon/gateway/gate_book.py
@@ -1,4 +1,4 @@
-"""Keep the gates that are hosted by this process."""
+"""Hold the piece schedulers that this process hosts."""
 
 import math
 from collections.abc import Sequence
@@ -23,65 +23,67 @@
 
 class GateBook:
     """
-    Hold one gate for each pool whose pieces came here.
+    Hold one scheduler for each pool whose pieces arrived here.
 
     Parameters
     ----------
     context : GatewayContext
-        Of this process.
+        Shared state of this process.
     """
 
     def __init__(self, *, context: GatewayContext) -> None:
         self._context = context
-        self._gates: dict[str, PieceGate] = {}
+        self._schedulers: dict[str, PieceGate] = {}
         self.announced = AnnouncedWork()
         self.peer_announcements = PeerAnnouncements()
 
     def get(self, pool: str) -> PieceGate:
-        """Return the gate of a pool, a new one if need be."""
-        return self._gates.setdefault(pool, PieceGate())
+        """Return the scheduler of a pool, creating it if needed."""
+        return self._schedulers.setdefault(pool, PieceGate())
 
     def get_pools(self) -> tuple[str, ...]:
-        """Return the pools that have a gate here."""
-        return tuple(self._gates)
+        """Return the pools that have a scheduler here."""
+        return tuple(self._schedulers)
 
     def find_profile(self, pool: str) -> PieceProfile | None:
-        """Return how a pool works; None when it serves no stages."""
+        """Return the piece profile of a pool; None if it serves no stages."""
         table = self._context.table
-        described = None if table is None else table.pools.get(pool)
-        return None if described is None else described.pieces
+        pool_config = None if table is None else table.pools.get(pool)
+        return None if pool_config is None else pool_config.pieces
 
     def forget_instance(self, instance: str) -> None:
-        """Forget the results of an instance that holds none any more."""
-        for gate in self._gates.values():
-            gate.room.forget_instance(instance)
+        """Drop the results of an instance that no longer stores any."""
+        for scheduler in self._schedulers.values():
+            scheduler.room.forget_instance(instance)
 
-    def free(self, pool: str, handle: str) -> str:
+    def release(self, pool: str, handle: str) -> str:
         """
-        Forget a result; return its maker, empty when that one is gone.
+        Drop a result and return its producer, or '' if that has terminated.
 
-        The maker of a result that another gate had made is found by the
-        address in its handle.
+        The producer of a result that another scheduler requested is found by
+        the address in the result's handle.
         """
-        maker = self.get(pool).room.free(handle, get_monotonic_ms())
-        if maker:
-            return maker
-        found = self._context.directory.find_at(pool, get_maker_address(handle))
-        return '' if found is None else found.instance
+        producer = self.get(pool).room.free(handle, get_monotonic_ms())
+        if producer:
+            return producer
+        instance = self._context.directory.find_at(
+            pool, get_maker_address(handle)
+        )
+        return '' if instance is None else instance.instance
 
     def get_waits_ms(self) -> dict[str, list[float]]:
-        """Return the expected waits of a new piece, by pool and priority."""
+        """Return expected waits (ms) of a new piece by pool and priority."""
         now_ms = get_monotonic_ms()
-        own = self.announced.get_counts()
+        local = self.announced.get_counts()
         waits_ms = {}
-        for pool, gate in self._gates.items():
+        for pool, scheduler in self._schedulers.items():
             profile = self.find_profile(pool)
             if profile is None:
                 continue
             announced = self.peer_announcements.sum_counts(pool, now_ms)
-            for priority, pieces in enumerate(own.get(pool, ())):
+            for priority, pieces in enumerate(local.get(pool, ())):
                 announced[priority] += pieces
-            waits_ms[pool] = gate.estimate_waits_ms(
+            waits_ms[pool] = scheduler.estimate_waits_ms(
                 profile,
                 len(self._context.directory.get_pool(pool)),
                 announced,
@@ -95,19 +97,20 @@
         pieces: Sequence[Piece],
     ) -> tuple[PieceResult, ...] | None:
         """
-        Refuse at once what cannot start in time.
+        Refuse pieces that cannot start in time.
 
         Parameters
         ----------
         pool : str
-            Pool that would do them.
+            Pool that would process the pieces.
         pieces : sequence of Piece
-            Of one stage; one with inputs is let in, since work was spent.
+            Pieces of one stage.  They are always admitted if the stage has
+            inputs, since work was already done for them.
 
         Returns
         -------
         tuple of PieceResult or None
-            None lets them in.
+            The refusal of each piece; None if the pieces are admitted.
         """
         first = pieces[0]
         profile = self.find_profile(pool)
@@ -122,7 +125,7 @@
         )
         latest_ms = first.due_ms + global_settings.ADMISSION_GRACE_MS
         if first.due_ms < now_ms:
-            # Let in to be served late.
+            # Admitted in order to be served late.
             latest_ms = first.give_up_ms
         late_ms = now_ms + wait_ms - latest_ms
         if late_ms <= 0:
@@ -142,5 +145,5 @@
 
 
 def _round(wait_ms: float) -> int | None:
-    """Round for the log; None for a wait without an end."""
+    """Round a wait for the log; return None if it is infinite."""
     return round(wait_ms) if math.isfinite(wait_ms) else None
--- a/packages/ragworthollow-daemon/src/ragworthollow_daemon/gateway/gate_handover.py
+++ b/packages/ragworthollow-daemon/src/ragworthollow_daemon/gateway/gate_handover.py
@@ -1,4 +1,4 @@
-"""Hand the gates over that another gateway hosts from now on."""
+"""Hand over schedulers whose pool is now hosted by another gateway."""
 
 from collections.abc import Iterable
 
@@ -25,22 +25,23 @@
 
 class GateHandover:
     """
-    Tell the new host of a gate what its earlier one has in hand.
+    Report the calls and results of a pool to its new host.
 
-    Two gates of one pool that do not know of each other fill the same
-    instances: calls wait behind calls, results find no space, and requests
-    lose the work of their stages.  While gateways restart in turn this goes
-    on for seconds.  So a gate whose host has changed sends its queue back to
-    the askers, and tells the new host of its calls and results.
+    Two schedulers of one pool that do not know of each other overload the
+    same instances: calls queue behind calls, there is no space left for
+    results, and requests lose the work of their stages.  During a rolling
+    restart of the gateways this would last for seconds.  Therefore a
+    scheduler whose pool has moved to another host returns its queue to the
+    requesters and reports its calls and results to the new host.
 
     Parameters
     ----------
     context : GatewayContext
-        Of this process.
+        Shared state of this process.
     members : GatewayMembers
-        Who hosts which gate.
+        Provides the host of each pool.
     gates : GateBook
-        Gates of this process.
+        Schedulers of this process.
     """
 
     def __init__(
@@ -52,89 +53,89 @@
     ) -> None:
         self._context = context
         self._members = members
-        self._gates = gates
+        self._schedulers = gates
         self._hosted: set[str] = set()
-        self._told: set[str] = set()
+        self._notified: set[str] = set()
 
     def check(self) -> None:
-        """Hand over what is no longer hosted here."""
-        for pool in self._gates.get_pools():
+        """Hand over the schedulers of pools that are no longer hosted here."""
+        for pool in self._schedulers.get_pools():
             host = self._members.find_host(pool)
             if host is None:
                 self._hosted.add(pool)
             else:
-                self._hand_over(pool, self._gates.get(pool), host)
+                self._hand_over(pool, self._schedulers.get(pool), host)
 
     def take(self, transfer: GateTransfer) -> None:
-        """Take what another gateway has in hand for a pool."""
+        """Record the calls and results of another gateway for a pool."""
         now_ms = get_monotonic_ms()
-        gate = self._gates.get(transfer.pool)
+        scheduler = self._schedulers.get(transfer.pool)
         if transfer.calls is not None:
-            gate.running.learn(
+            scheduler.running.learn(
                 transfer.source,
-                _read_calls(transfer.calls, now_ms),
+                _make_remote_calls(transfer.calls, now_ms),
             )
-        for kept in transfer.kept:
-            gate.room.keep(
+        for stored in transfer.kept:
+            scheduler.room.keep(
                 KeptResult(
-                    handle=kept.handle,
-                    instance=kept.instance,
-                    result_bytes=kept.result_bytes,
-                    until_ms=now_ms + kept.left_ms,
-                    asker=kept.asker,
+                    handle=stored.handle,
+                    instance=stored.instance,
+                    result_bytes=stored.result_bytes,
+                    until_ms=now_ms + stored.left_ms,
+                    asker=stored.asker,
                 ),
             )
 
     def _hand_over(
         self,
         pool: str,
-        gate: PieceGate,
+        scheduler: PieceGate,
         host: GatewayMember,
     ) -> None:
         if pool in self._hosted:
             self._hosted.discard(pool)
-            self._release(pool, gate, host)
-        calls = _describe_calls(gate)
+            self._release_queue(pool, scheduler, host)
+        calls = _make_call_messages(scheduler)
         now_ms = get_monotonic_ms()
-        kept = describe_results(gate.room.take_all(), now_ms)
-        if calls or kept or pool in self._told:
+        results = make_result_messages(scheduler.room.take_all(), now_ms)
+        if calls or results or pool in self._notified:
             transfer = GateTransfer(
                 pool=pool,
                 source=self._context.settings.instance,
                 calls=calls,
-                kept=kept,
+                kept=results,
             )
             self._context.spawn(self._send(host, transfer))
-        # The last one of a row tells that no call is running any more.
+        # After the last call has ended, one more transfer reports no calls.
         if calls:
-            self._told.add(pool)
+            self._notified.add(pool)
         else:
-            self._told.discard(pool)
+            self._notified.discard(pool)
 
-    def _release(
+    def _release_queue(
         self,
         pool: str,
-        gate: PieceGate,
+        scheduler: PieceGate,
         host: GatewayMember,
     ) -> None:
-        queued = gate.get_depth()
-        gate.release_queue()
+        queued = scheduler.get_depth()
+        scheduler.release_queue()
         log_event(
             'gate_handed_over',
             step=_STEP,
             pool=pool,
             peer=host.instance,
             queued=queued,
-            calls=len(gate.running.own),
+            calls=len(scheduler.running.own),
         )
 
     async def _send(self, host: GatewayMember, transfer: GateTransfer) -> None:
-        # A host that is not told meets instances that are fuller than it knows.
+        # Without it, the host overestimates the free capacity of instances.
         body = msgspec.json.encode(transfer)
         await tell_peer(self._context, host, TRANSFER_PATH, body)
 
 
-def _describe_calls(gate: PieceGate) -> tuple[ForeignCallMessage, ...]:
+def _make_call_messages(scheduler: PieceGate) -> tuple[ForeignCallMessage, ...]:
     return tuple(
         ForeignCallMessage(
             instance=call.instance.instance,
@@ -142,46 +143,46 @@
                 waiting.piece.result_bytes for waiting in call.waiting
             ),
         )
-        for call in gate.running.own
+        for call in scheduler.running.own
     )
 
 
-def describe_results(
+def make_result_messages(
     results: Iterable[KeptResult],
     now_ms: float,
 ) -> tuple[KeptResultMessage, ...]:
     """
-    Describe results that still take space to another gateway.
+    Encode results that still occupy space, for another gateway.
 
     Parameters
     ----------
     results : iterable of KeptResult
         Results of one pool.
     now_ms : float
-        Time on the monotonic clock.
+        Time on the monotonic clock, in milliseconds.
     """
     return tuple(
         KeptResultMessage(
-            handle=one.handle,
-            instance=one.instance,
-            result_bytes=one.result_bytes,
-            left_ms=one.until_ms - now_ms,
-            asker=one.asker,
+            handle=result.handle,
+            instance=result.instance,
+            result_bytes=result.result_bytes,
+            left_ms=result.until_ms - now_ms,
+            asker=result.asker,
         )
-        for one in results
-        if one.until_ms > now_ms
+        for result in results
+        if result.until_ms > now_ms
     )
 
 
-def _read_calls(
+def _make_remote_calls(
     calls: Iterable[ForeignCallMessage],
     now_ms: float,
 ) -> list[ForeignCall]:
     return [
         ForeignCall(
-            instance=one.instance,
-            result_bytes=one.result_bytes,
+            instance=call.instance,
+            result_bytes=call.result_bytes,
             until_ms=now_ms + global_settings.FOREIGN_CALL_MS,
         )
-        for one in calls
+        for call in calls
     ]
--- a/packages/ragworthollow-daemon/src/ragworthollow_daemon/gateway/held_results.py
+++ b/packages/ragworthollow-daemon/src/ragworthollow_daemon/gateway/held_results.py
@@ -1,4 +1,4 @@
-"""Know the results that requests of this gateway hold."""
+"""Track the results that requests of this gateway use."""
 
 from collections.abc import Iterable
 
@@ -7,32 +7,33 @@
 
 class HeldResults:
     """
-    Hold the results of each pool that are not given up yet.
+    Track the results of each pool that have not been released yet.
 
-    The host of a gate accounts for the space of all results.  When it is
-    killed, its successor knows of none and sends pieces into space that is
-    taken; their requests fail.  So each gateway tells a new host what its
-    own requests hold, which leaves unknown only those of the killed one.
+    The host of a scheduler accounts for the space of all results.  If it is
+    killed, its successor knows of none of them and sends pieces to instances
+    without free space, so that their requests fail.  Therefore each gateway
+    reports the results that its own requests use to a new host; only those
+    of the killed gateway remain unknown.
     """
 
     def __init__(self) -> None:
-        self._held: dict[str, dict[str, KeptResult]] = {}
-        self._hosts: dict[str, str] = {}
+        self._in_use: dict[str, dict[str, KeptResult]] = {}
+        self._notified_hosts: dict[str, str] = {}
 
     def add(self, pool: str, results: Iterable[KeptResult]) -> None:
-        """Note results that a request of this gateway has got."""
-        held = self._held.setdefault(pool, {})
-        held.update((one.handle, one) for one in results)
+        """Add results that a request of this gateway has received."""
+        in_use = self._in_use.setdefault(pool, {})
+        in_use.update((result.handle, result) for result in results)
 
     def remove(self, pool: str, handles: Iterable[str]) -> None:
-        """Note that results are given up."""
-        held = self._held.get(pool, {})
+        """Remove results that are released."""
+        in_use = self._in_use.get(pool, {})
         for handle in handles:
-            held.pop(handle, None)
+            in_use.pop(handle, None)
 
     def get_pools(self) -> tuple[str, ...]:
-        """Return the pools whose results were held."""
-        return tuple(self._held)
+        """Return the pools that have had results in use."""
+        return tuple(self._in_use)
 
     def take_for_host(
         self,
@@ -41,23 +42,29 @@
         now_ms: float,
     ) -> tuple[KeptResult, ...]:
         """
-        Return what a host has to be told; nothing if it has been told.
+        Return the results to report to a host that is new for a pool.
 
         Parameters
         ----------
         pool : str
-            Pool of the gate.
+            Pool of the scheduler.
         host : str
-            Process that hosts it now.
+            Incarnation that hosts the scheduler now.
         now_ms : float
-            Time on the monotonic clock; what has expired is dropped.
+            Time on the monotonic clock, in milliseconds; expired results are
+            dropped.
+
+        Returns
+        -------
+        tuple of KeptResult
+            Empty if the host is the one of the previous call.
         """
-        known = self._hosts.get(pool, host)
-        self._hosts[pool] = host
-        if known == host:
+        previous = self._notified_hosts.get(pool, host)
+        self._notified_hosts[pool] = host
+        if previous == host:
             return ()
-        held = self._held.get(pool, {})
-        for handle, one in tuple(held.items()):
-            if one.until_ms <= now_ms:
-                held.pop(handle)
-        return tuple(held.values())
+        in_use = self._in_use.get(pool, {})
+        for handle, result in tuple(in_use.items()):
+            if result.until_ms <= now_ms:
+                in_use.pop(handle)
+        return tuple(in_use.values())
--- a/packages/ragworthollow-daemon/src/ragworthollow_daemon/gateway/lateness.py
+++ b/packages/ragworthollow-daemon/src/ragworthollow_daemon/gateway/lateness.py
@@ -1,4 +1,4 @@
-"""Reject requests that are expected to miss their objective."""
+"""Refuse requests that are expected to miss their objective."""
 
 from collections.abc import Callable, Iterable, Mapping
 
@@ -19,14 +19,14 @@
     get_waits_ms: GetWaits,
 ) -> UpstreamFailure | None:
     """
-    Reject a request that is expected to be late, before any work is done.
+    Refuse a request that is expected to be late, before any work is done.
 
     Parameters
     ----------
     job : RequestJob
         The request.
     way : StageWay
-        Estimates of the time that its stages take.
+        Estimates of the time that the request takes.
     get_waits_ms : callable
         Returns the expected waits in milliseconds by pool, given the pools
         and a priority.
@@ -34,12 +34,12 @@
     Returns
     -------
     UpstreamFailure or None
-        The rejection; None if the request is admitted.
+        The refusal; None if the request is admitted.
     """
     pools = {stage.pool for stage in job.route.stages}
     waits_ms = get_waits_ms(pools, job.get_priority())
     late_ms = way.find_lateness_ms(waits_ms)
-    allowed_ms = _get_allowed_ms(job)
+    allowed_ms = _get_allowed_lateness_ms(job)
     if late_ms <= allowed_ms:
         return None
     return UpstreamFailure(
@@ -59,15 +59,15 @@
     )
 
 
-def _get_allowed_ms(job: RequestJob) -> float:
+def _get_allowed_lateness_ms(job: RequestJob) -> float:
     """
     Return the expected lateness up to which a request is admitted.
 
     The throughput of a saturated pool does not depend on the length of its
     queue, but if the wait in the queue equals the slack of the requests, half
     of them narrowly miss their objective.  New requests therefore need a
-    margin.  A caller that retries after a rejection takes precedence over
-    new ones while it can be served in time, so that it is not rejected
+    margin.  A caller that retries after a refusal takes precedence over
+    new ones while it can be served in time, so that it is not refused
     repeatedly.
     """
     if job.waited_ms:
--- a/packages/ragworthollow-daemon/src/ragworthollow_daemon/gateway/piece_call.py
+++ b/packages/ragworthollow-daemon/src/ragworthollow_daemon/gateway/piece_call.py
@@ -1,4 +1,4 @@
-"""Send one call for pieces and read its answer."""
+"""Send a call for pieces and read its response."""
 
 import aiohttp
 import msgspec
@@ -24,30 +24,30 @@
 _OK = 200
 _JSON = 'application/json'
 
-Found = tuple[PieceResult, ...]
+PieceResults = tuple[PieceResult, ...]
 
 
 async def send_call(
     context: GatewayContext,
     call: PieceCall,
-) -> Result[Found, UpstreamFailure]:
+) -> Result[PieceResults, UpstreamFailure]:
     """
-    Send one call and read its answer.
+    Send a call and read its response.
 
     Parameters
     ----------
     context : GatewayContext
-        Of this process.
+        Shared state of this process.
     call : PieceCall
-        The pieces, and who is to make them.
+        The pieces and the instance that should process them.
 
     Returns
     -------
     Result
-        Results in the order of the pieces, or why there are none.
+        Results in the order of the pieces, or the failure of the call.
     """
     now_ms = get_monotonic_ms()
-    asked_ms = get_boottime_ms()
+    sent_ms = get_boottime_ms()
     pieces = tuple(waiting.piece for waiting in call.waiting)
     try:
         async with context.upstream_session.post(
@@ -62,56 +62,62 @@
                 global_settings.UPSTREAM_CONNECT_TIMEOUT_MS,
             ),
         ) as response:
-            text = await response.read()
-            return _read(context, call, response, text, asked_ms)
+            body = await response.read()
+            return _read_response(context, call, response, body, sent_ms)
     except (
         aiohttp.ClientConnectorError,
         aiohttp.ConnectionTimeoutError,
     ) as error:
-        return _fail(call, Reason.connect_failed, repr(error))
+        return _make_failure(call, Reason.connect_failed, repr(error))
     except (TimeoutError, aiohttp.ClientError, OSError) as error:
-        return _fail(call, Reason.connection_lost, repr(error), Outcome.unknown)
+        return _make_failure(
+            call, Reason.connection_lost, repr(error), Outcome.unknown
+        )
 
 
-def _read(
+def _read_response(
     context: GatewayContext,
     call: PieceCall,
     response: aiohttp.ClientResponse,
-    text: bytes,
-    asked_ms: float,
-) -> Result[Found, UpstreamFailure]:
-    marks = read_marks(response.status, response.headers)
+    body: bytes,
+    sent_ms: float,
+) -> Result[PieceResults, UpstreamFailure]:
+    metadata = read_marks(response.status, response.headers)
     note_marks(
         context,
         call.instance,
-        marks,
-        asked_ms=asked_ms,
-        is_authentic=marks.is_not_run or response.status == _OK,
+        metadata,
+        asked_ms=sent_ms,
+        is_authentic=metadata.is_not_run or response.status == _OK,
     )
-    if marks.is_not_run:
-        return _fail(call, Reason.upstream_full, f'status {response.status}')
+    if metadata.is_not_run:
+        return _make_failure(
+            call, Reason.upstream_full, f'status {response.status}'
+        )
     if response.status != _OK:
-        return _fail(
+        return _make_failure(
             call,
             Reason.upstream_error,
             f'status {response.status}',
             Outcome.unknown,
         )
     try:
-        found = decode_run(text)
+        results = decode_run(body)
     except msgspec.DecodeError as error:
-        return _fail(call, Reason.truncated, str(error), Outcome.unknown)
-    if len(found) != len(call.waiting):
-        return _fail(
+        return _make_failure(
+            call, Reason.truncated, str(error), Outcome.unknown
+        )
+    if len(results) != len(call.waiting):
+        return _make_failure(
             call,
             Reason.mismatched_answer,
-            f'{len(found)} results for {len(call.waiting)} pieces',
+            f'{len(results)} results for {len(call.waiting)} pieces',
             Outcome.unknown,
         )
-    return Ok(found)
+    return Ok(results)
 
 
-def _fail(
+def _make_failure(
     call: PieceCall,
     reason: Reason,
     detail: str,
--- a/packages/ragworthollow-daemon/src/ragworthollow_daemon/gateway/piece_client.py
+++ b/packages/ragworthollow-daemon/src/ragworthollow_daemon/gateway/piece_client.py
@@ -1,4 +1,4 @@
-"""Have pieces done by the gate of their pool, wherever it is hosted."""
+"""Run pieces through the scheduler of their pool, local or remote."""
 
 import asyncio
 from collections.abc import Iterable, Sequence
@@ -14,34 +14,34 @@
 from ragworthollow.transport.piece_messages import ResultsRelease
 from ragworthollow_daemon.gateway.context import GatewayContext
 from ragworthollow_daemon.gateway.piece_exchange import (
-    AskHost,
-    Found,
-    TellHost,
+    NotifyReleased,
+    PieceResults,
+    RequestPieces,
     ask_host,
     tell_released,
 )
 from ragworthollow_daemon.gateway.piece_service import PieceService
-from ragworthollow_daemon.gateway.result_holding import ResultHolding
+from ragworthollow_daemon.gateway.result_holding import ResultUseReporter
 
 _STEP = 'pieces'
 
 
 class PieceClient:
     """
-    Reach the gate of a pool.
+    Run pieces through the schedulers of all pools.
 
     Parameters
     ----------
     context : GatewayContext
-        Of this process.
+        Shared state of this process.
     members : GatewayMembers
         The other gateways.
     service : PieceService
-        Gates hosted by this process.
+        Schedulers hosted by this process.
     ask : callable
-        Has pieces done by another gateway.
+        Sends pieces to another gateway and returns their results.
     tell : callable
-        Tells another gateway of results that are given up.
+        Notifies another gateway of released results.
     """
 
     def __init__(
@@ -50,60 +50,65 @@
         context: GatewayContext,
         members: GatewayMembers,
         service: PieceService,
-        ask: AskHost = ask_host,
-        tell: TellHost = tell_released,
+        ask: RequestPieces = ask_host,
+        tell: NotifyReleased = tell_released,
     ) -> None:
-        self._ask = ask
-        self._tell = tell
+        self._request_pieces = ask
+        self._notify_released = tell
         self._context = context
         self._members = members
         self._service = service
-        self._held = ResultHolding(
+        self._results_in_use = ResultUseReporter(
             context=context,
             members=members,
             service=service,
         )
-        self.asker = context.incarnation
+        self.requester = context.incarnation
 
-    async def run(self, pool: str, pieces: Sequence[Piece]) -> Found:
+    async def run(self, pool: str, pieces: Sequence[Piece]) -> PieceResults:
         """
-        Have the pieces of one stage of one request done.
+        Process the pieces of one stage of one request.
 
-        A host that falls silent loses its turn: the pieces go to the next
-        one, in the end to this process itself.  Pieces may be done again, so
-        that nothing has to be known of what the silent host did.  One that
-        is no longer the host sends back what it has not begun.
+        If a host becomes unresponsive, the pieces are sent to the next host,
+        and finally to this process itself.  Pieces may be processed more than
+        once, so it does not matter what the unresponsive host has done.  A
+        gateway that is no longer the host returns the pieces that it has not
+        started.
         """
-        found: dict[int, PieceResult] = {}
-        left = tuple(pieces)
-        while left:
-            part = await self._run_somewhere(pool, left)
-            found.update(
-                (piece.number, made)
-                for piece, made in zip(left, part, strict=True)
-                if made.outcome is not PieceOutcome.moved
+        results_by_number: dict[int, PieceResult] = {}
+        pending = tuple(pieces)
+        while pending:
+            batch = await self._run_on_host(pool, pending)
+            results_by_number.update(
+                (piece.number, result)
+                for piece, result in zip(pending, batch, strict=True)
+                if result.outcome is not PieceOutcome.moved
             )
-            left = tuple(one for one in pieces if one.number not in found)
-        results = tuple(found[piece.number] for piece in pieces)
-        self._held.add(pool, pieces, results)
+            pending = tuple(
+                piece
+                for piece in pieces
+                if piece.number not in results_by_number
+            )
+        results = tuple(results_by_number[piece.number] for piece in pieces)
+        self._results_in_use.add(pool, pieces, results)
         return results
 
     def tell_new_hosts(self) -> None:
-        """Tell gateways that host a gate anew what space is taken."""
-        self._held.tell_new_hosts()
+        """Report the results in use to new hosts of schedulers."""
+        self._results_in_use.tell_new_hosts()
 
-    async def _run_somewhere(
+    async def _run_on_host(
         self,
         pool: str,
         pieces: tuple[Piece, ...],
-    ) -> Found:
+    ) -> PieceResults:
         while True:
             host = self._members.find_host(pool)
             if host is None:
                 return await self._service.run(pool, pieces)
-            found = await self._run_at(host, pool, pieces)
-            if found is not None:
-                return found
+            results = await self._run_remotely(host, pool, pieces)
+            if results is not None:
+                return results
 
     def get_waits_ms(
         self,
@@ -111,21 +116,26 @@
         priority: int,
     ) -> dict[str, float]:
         """
-        Return the expected waits of pools, as their hosts said last.
+        Return the expected waits of pools as last reported by their hosts.
 
         Parameters
         ----------
         pools : iterable of str
-            Pools of interest.
+            Pools to return.
         priority : int
-            Rank of the request that would wait.
+            Priority of the request that would wait.
+
+        Returns
+        -------
+        dict of str to float
+            Waits in milliseconds by pool.
         """
-        own = self._service.get_waits_ms()
+        local = self._service.get_waits_ms()
         waits = {}
         for pool in pools:
             host = self._members.find_host(pool)
             by_priority = (
-                own.get(pool, [])
+                local.get(pool, [])
                 if host is None
                 else self._members.get_waits_ms(pool, host.instance)
             )
@@ -134,70 +144,70 @@
         return waits
 
     def announce(self, pool: str, priority: int, pieces: int) -> None:
-        """Tell the gate of a pool how many pieces more will come, or fewer."""
+        """Announce pieces to the scheduler of a pool, or withdraw them."""
         self._service.get_gates().announced.add(pool, priority, pieces)
 
-    def find_domain(self, pool: str, handle: str) -> str:
-        """Return where a result lies; empty when its maker is gone."""
+    def find_failure_domain(self, pool: str, handle: str) -> str:
+        """Return the domain of a result; '' if its producer has terminated."""
         address = get_maker_address(handle)
-        maker = self._context.directory.find_at(pool, address)
-        return '' if maker is None else maker.failure_domain
+        producer = self._context.directory.find_at(pool, address)
+        return '' if producer is None else producer.failure_domain
 
-    def free(self, pool: str, handles: Sequence[str]) -> None:
-        """Give results up, through the gate that counts their space now."""
+    def release(self, pool: str, handles: Sequence[str]) -> None:
+        """Release results through the scheduler that accounts for them."""
         if not handles:
             return
-        self._held.remove(pool, handles)
+        self._results_in_use.remove(pool, handles)
         host = self._members.find_host(pool)
         if host is None:
             self._service.free(pool, handles)
             return
         release = ResultsRelease(pool=pool, handles=tuple(handles))
-        self._context.spawn(self._free_at(host, release))
+        self._context.spawn(self._release_remotely(host, release))
 
-    async def _run_at(
+    async def _run_remotely(
         self,
         host: GatewayMember,
         pool: str,
         pieces: tuple[Piece, ...],
-    ) -> Found | None:
-        asking = asyncio.ensure_future(
-            self._ask(self._context, host, pool, pieces),
+    ) -> PieceResults | None:
+        request = asyncio.ensure_future(
+            self._request_pieces(self._context, host, pool, pieces),
         )
         try:
-            while not asking.done():
+            while not request.done():
                 await asyncio.wait(
-                    {asking},
+                    {request},
                     timeout=global_settings.GATE_TICK_MS / 1000,
                 )
                 if self._members.is_silent(host.instance):
                     break
         finally:
-            asking.cancel()
-        if asking.done() and not asking.cancelled():
-            return self._note_answer(host, asking.result())
+            request.cancel()
+        if request.done() and not request.cancelled():
+            return self._handle_response(host, request.result())
         return None
 
-    async def _free_at(
+    async def _release_remotely(
         self,
         host: GatewayMember,
         release: ResultsRelease,
     ) -> None:
-        if not await self._tell(self._context, host, release):
+        if not await self._notify_released(self._context, host, release):
             self._service.free(release.pool, release.handles)
 
-    def _note_answer(
+    def _handle_response(
         self,
         host: GatewayMember,
-        answered: Result[Found, str],
-    ) -> Found | None:
-        if not isinstance(answered, Err):
-            return answered.ok_value
+        response: Result[PieceResults, str],
+    ) -> PieceResults | None:
+        if not isinstance(response, Err):
+            return response.ok_value
         self._members.note_silent(host.instance)
         log_event(
             'peer_lost',
             step=_STEP,
             peer=host.instance,
-            error=answered.err_value,
+            error=response.err_value,
         )
         return None
--- a/packages/ragworthollow-daemon/src/ragworthollow_daemon/gateway/piece_exchange.py
+++ b/packages/ragworthollow-daemon/src/ragworthollow_daemon/gateway/piece_exchange.py
@@ -1,4 +1,4 @@
-"""Speak with the gateway that hosts a gate."""
+"""Send requests to the gateway that hosts the scheduler of a pool."""
 
 from collections.abc import Callable, Coroutine
 
@@ -22,12 +22,12 @@
 RUN_PATH = '/v1/pieces/run'
 FREE_PATH = '/v1/pieces/free'
 
-Found = tuple[PieceResult, ...]
-AskHost = Callable[
+PieceResults = tuple[PieceResult, ...]
+RequestPieces = Callable[
     [GatewayContext, GatewayMember, str, tuple[Piece, ...]],
-    Coroutine[None, None, Result[Found, str]],
+    Coroutine[None, None, Result[PieceResults, str]],
 ]
-TellHost = Callable[
+NotifyReleased = Callable[
     [GatewayContext, GatewayMember, ResultsRelease],
     Coroutine[None, None, bool],
 ]
@@ -38,25 +38,25 @@
     host: GatewayMember,
     pool: str,
     pieces: tuple[Piece, ...],
-) -> Result[Found, str]:
+) -> Result[PieceResults, str]:
     """
-    Have pieces done by the gate that another gateway hosts.
+    Have pieces processed by a scheduler that another gateway hosts.
 
     Parameters
     ----------
     context : GatewayContext
-        Of this process.
+        Shared state of this process.
     host : GatewayMember
-        Who hosts the gate.
+        Gateway that hosts the scheduler.
     pool : str
-        Pool of the gate.
+        Pool that processes the pieces.
     pieces : tuple of Piece
-        Of one stage of one request.
+        Pieces of one stage of one request.
 
     Returns
     -------
     Result
-        Results in the order of the pieces, or how the host failed.
+        Results in the order of the pieces, or a description of the error.
     """
     try:
         async with context.session.post(
@@ -67,10 +67,10 @@
                 sock_connect=global_settings.PEER_CONNECT_TIMEOUT_MS / 1000,
             ),
         ) as response:
-            text = await response.read()
+            body = await response.read()
             status = response.status
         if status == _OK:
-            return Ok(decode_results(text))
+            return Ok(decode_results(body))
     except (
         TimeoutError,
         aiohttp.ClientError,
@@ -86,6 +86,6 @@
     host: GatewayMember,
     release: ResultsRelease,
 ) -> bool:
-    """Tell a host of results that are given up; False when it may not know."""
+    """Notify a host of released results; return False if it may not know."""
     body = msgspec.json.encode(release)
     return await tell_peer(context, host, FREE_PATH, body)
--- a/packages/ragworthollow-daemon/src/ragworthollow_daemon/gateway/piece_service.py
+++ b/packages/ragworthollow-daemon/src/ragworthollow_daemon/gateway/piece_service.py
@@ -1,4 +1,4 @@
-"""Host the gates of pools and send their calls."""
+"""Host the schedulers of pools and send their calls."""
 
 import asyncio
 from collections.abc import Callable, Coroutine, Sequence
@@ -24,12 +24,12 @@
 from ragworthollow_daemon.gateway.gate_book import GateBook
 from ragworthollow_daemon.gateway.piece_call import send_call
 from ragworthollow_daemon.gateway.pool_throttle import PoolThrottle
-from ragworthollow_daemon.gateway.result_releases import ResultReleases
+from ragworthollow_daemon.gateway.result_releases import ResultReleaser
 
 _STEP = 'pieces'
 
-Found = tuple[PieceResult, ...]
-FreeResults = Callable[
+PieceResults = tuple[PieceResult, ...]
+ReleaseResults = Callable[
     [GatewayContext, str, tuple[str, ...]],
     Coroutine[None, None, None],
 ]
@@ -37,18 +37,18 @@
 
 class PieceService:
     """
-    Fill calls across all requests whose pieces come here.
+    Batch the pieces that arrive here into calls, across requests.
 
     Parameters
     ----------
     context : GatewayContext
-        Of this process.
+        Shared state of this process.
     send : callable
-        Makes one call and returns its results.
+        Sends one call and returns its results.
     free_at : callable, optional
-        Gives results up at the instance that made them.
+        Releases results at the instance that produced them.
     ask : callable
-        Asks an instance whether it has any call in hand.
+        Asks an instance whether it is processing any call.
     """
 
     def __init__(
@@ -56,38 +56,38 @@
         *,
         context: GatewayContext,
         send: SendCall = send_call,
-        free_at: FreeResults | None = None,
+        free_at: ReleaseResults | None = None,
         ask: AskWorking = ask_working,
     ) -> None:
         self._context = context
-        self._free_at = free_at or ResultReleases().release
-        self._gates = GateBook(context=context)
+        self._release_at = free_at or ResultReleaser().release
+        self._schedulers = GateBook(context=context)
         self._outcomes = CallOutcomes(context=context, free=self.free)
         self.askers = AskerBook()
         self._calls = CallRunner(context=context, send=send, ask=ask)
 
-    async def run(self, pool: str, pieces: Sequence[Piece]) -> Found:
+    async def run(self, pool: str, pieces: Sequence[Piece]) -> PieceResults:
         """
-        Have pieces done.
+        Process pieces.
 
         Parameters
         ----------
         pool : str
-            Pool that does them.
+            Pool that processes the pieces.
         pieces : sequence of Piece
-            Of one stage of one request.
+            Pieces of one stage of one request.
 
         Returns
         -------
         tuple of PieceResult
-            In the order of the pieces.
+            Results in the order of the pieces.
         """
-        refused = self._gates.refuse(pool, pieces)
+        refused = self._schedulers.refuse(pool, pieces)
         if refused is not None:
             return refused
         self._context.get_budget(pool).earn()
         loop = asyncio.get_running_loop()
-        gate = self._gates.get(pool)
+        scheduler = self._schedulers.get(pool)
         stage_run = StageRun()
         futures = []
         submitted = []
@@ -96,19 +96,19 @@
             waiting = WaitingPiece(
                 piece=piece,
                 arrived_ms=get_monotonic_ms(),
-                on_result=_make_settler(future),
+                on_result=_make_resolver(future),
                 stage_run=stage_run,
             )
             futures.append(future)
             submitted.append(waiting)
         for waiting in submitted:
-            gate.submit(waiting)
+            scheduler.submit(waiting)
         self.advance(pool)
         try:
             return tuple(await asyncio.gather(*futures))
         except asyncio.CancelledError:
-            # Whoever asked has left: results made so far would take their
-            # makers' space until they expire.
+            # The requester has cancelled: results so far would occupy space at
+            # their producers until they expire.
             self.free(pool, _get_handles(futures))
             raise
         finally:
@@ -116,30 +116,30 @@
                 waiting.is_wanted = False
 
     def get_waits_ms(self) -> dict[str, list[float]]:
-        """Return the expected waits by pool hosted here and priority."""
-        return self._gates.get_waits_ms()
+        """Return the expected waits (ms) by pool hosted here and priority."""
+        return self._schedulers.get_waits_ms()
 
     def advance_all(self) -> None:
-        """Advance every gate."""
-        for asker in self.askers.take_gone(get_monotonic_ms()):
-            self._give_up_asker(asker)
-        for pool in self._gates.get_pools():
+        """Advance all schedulers; cancel the work of terminated requesters."""
+        for requester in self.askers.take_gone(get_monotonic_ms()):
+            self._cancel_requester(requester)
+        for pool in self._schedulers.get_pools():
             self.advance(pool)
 
     def advance(self, pool: str) -> None:
-        """Send the calls that a gate wants sent now."""
-        profile = self._gates.find_profile(pool)
+        """Send the calls that the scheduler of a pool plans for now."""
+        profile = self._schedulers.find_profile(pool)
         if profile is None:
             return
-        gate = self._gates.get(pool)
+        scheduler = self._schedulers.get(pool)
         if self._context.directory.is_pool_drained(pool):
-            gate.refuse_queue()
+            scheduler.refuse_queue()
         throttle = PoolThrottle(
             context=self._context,
             pool=pool,
             is_only_sender=True,
         )
-        calls = gate.plan(
+        calls = scheduler.plan(
             profile,
             throttle.get_ready(),
             self._context.book,
@@ -147,90 +147,124 @@
         )
         for call in calls:
             throttle.note_sent(call.instance)
-            self._context.spawn(self._send(pool, gate, call))
+            self._context.spawn(self._run_call(pool, scheduler, call))
 
-    def keep_results(self, pool: str, kept: Sequence[KeptResult]) -> None:
-        """Account for results that another gate of the pool had made."""
-        gate = self._gates.get(pool)
-        for one in kept:
-            gate.room.keep(one)
+    def add_stored_results(
+        self,
+        pool: str,
+        results: Sequence[KeptResult],
+    ) -> None:
+        """Account for results that another scheduler of the pool requested."""
+        scheduler = self._schedulers.get(pool)
+        for result in results:
+            scheduler.room.keep(result)
 
-    def get_kept_ms(self, pool: str) -> float:
-        """Return how long an instance keeps a result that nobody frees."""
-        profile = self._gates.find_profile(pool)
+    def get_result_ttl_ms(self, pool: str) -> float:
+        """Return how long (ms) an instance stores a result until it expires."""
+        profile = self._schedulers.find_profile(pool)
         return 0 if profile is None else profile.kept_ms
 
-    def _give_up_asker(self, asker: str) -> None:
-        freed = 0
-        for pool in self._gates.get_pools():
-            gate = self._gates.get(pool)
-            gate.drop_asker(asker)
-            handles = gate.room.find_handles(asker)
-            freed += len(handles)
+    def _cancel_requester(self, requester: str) -> None:
+        released = 0
+        for pool in self._schedulers.get_pools():
+            scheduler = self._schedulers.get(pool)
+            scheduler.drop_asker(requester)
+            handles = scheduler.room.find_handles(requester)
+            released += len(handles)
             self.free(pool, handles)
-        if freed:
-            log_event('asker_gone', step=_STEP, peer=asker, results=freed)
+        if released:
+            log_event(
+                'asker_gone',
+                step=_STEP,
+                peer=requester,
+                results=released,
+            )
 
     def get_gates(self) -> GateBook:
-        """Return the gates of this process."""
-        return self._gates
+        """Return the schedulers of this process."""
+        return self._schedulers
 
     def free(self, pool: str, handles: Sequence[str]) -> None:
-        """Give results of a pool up, whichever gates had them made."""
-        by_maker: dict[str, list[str]] = {}
+        """Release results of a pool, whichever schedulers requested them."""
+        by_producer: dict[str, list[str]] = {}
         for handle in handles:
-            maker = self._gates.free(pool, handle)
-            if maker:
-                by_maker.setdefault(maker, []).append(handle)
-        for maker, given_up in by_maker.items():
+            producer = self._schedulers.release(pool, handle)
+            if producer:
+                by_producer.setdefault(producer, []).append(handle)
+        for producer, producer_handles in by_producer.items():
             self._context.spawn(
-                self._free_at(self._context, maker, tuple(given_up)),
+                self._release_at(
+                    self._context,
+                    producer,
+                    tuple(producer_handles),
+                ),
             )
 
     def forget_incarnation(self, instance: str) -> None:
         """
-        Take it that an instance has started again under its name.
+        Record that an instance has restarted under the same name.
 
-        It holds no result and works on no call of before.  A call to the
-        incarnation that is gone may hang on a silent connection: its pieces
-        would wait for its timeout, and the new incarnation be left idle.
+        The new incarnation has no results and no calls of the previous one.
+        A call to the terminated incarnation may hang on a dead connection:
+        its pieces would wait until the timeout, and the new incarnation would
+        stay idle.
         """
-        self._gates.forget_instance(instance)
+        self._schedulers.forget_instance(instance)
         self._calls.give_up(instance)
 
-    def _note_slow(self, pool: str, gate: PieceGate, call: PieceCall) -> None:
-        self._outcomes.note_slow(pool, gate, call)
+    def _handle_slow_call(
+        self,
+        pool: str,
+        scheduler: PieceGate,
+        call: PieceCall,
+    ) -> None:
+        self._outcomes.note_slow(pool, scheduler, call)
         self.advance(pool)
 
-    async def _send(self, pool: str, gate: PieceGate, call: PieceCall) -> None:
+    async def _run_call(
+        self,
+        pool: str,
+        scheduler: PieceGate,
+        call: PieceCall,
+    ) -> None:
         """
-        Make one call and see it to its end.
+        Run one call to completion.
 
-        A call that is slow is not cut: its instance would go on working on
-        it, and its results would take space there under names that nobody
-        knows.  Its pieces go to other instances meanwhile; what it makes
-        after all is used if it comes first, and freed if not.
+        A slow call is not cancelled: its instance would continue to process
+        it, and the results would occupy space there under unknown handles.
+        Instead its pieces are also sent to other instances.  The results of
+        the slow call are used if they arrive first, and otherwise released.
         """
-        answered = await self._calls.run(
+        response = await self._calls.run(
             call,
-            on_slow=lambda: self._note_slow(pool, gate, call),
+            on_slow=lambda: self._handle_slow_call(pool, scheduler, call),
         )
-        if isinstance(answered, Err):
-            await self._outcomes.settle(call, answered.err_value)
-        gate.finish(call)
-        if isinstance(answered, Err):
-            self._outcomes.note_failure(pool, gate, call, answered.err_value)
+        if isinstance(response, Err):
+            await self._outcomes.settle(call, response.err_value)
+        scheduler.finish(call)
+        if isinstance(response, Err):
+            self._outcomes.note_failure(
+                pool,
+                scheduler,
+                call,
+                response.err_value,
+            )
         else:
-            self._outcomes.note_results(pool, gate, call, answered.ok_value)
+            self._outcomes.note_results(
+                pool,
+                scheduler,
+                call,
+                response.ok_value,
+            )
         self.advance(pool)
 
 
-def _make_settler(future: asyncio.Future[PieceResult]):
-    def settle(piece_result: PieceResult) -> None:
+def _make_resolver(future: asyncio.Future[PieceResult]):
+    def resolve(piece_result: PieceResult) -> None:
         if not future.done():
             future.set_result(piece_result)
 
-    return settle
+    return resolve
 
 
 def _get_handles(futures: Sequence[asyncio.Future[PieceResult]]) -> list[str]:
--- a/packages/ragworthollow-daemon/src/ragworthollow_daemon/gateway/refusals.py
+++ b/packages/ragworthollow-daemon/src/ragworthollow_daemon/gateway/refusals.py
@@ -1,4 +1,4 @@
-"""Build error responses for requests that no upstream answered."""
+"""Build responses for refused and failed requests."""
 
 import math
 import random
@@ -26,7 +26,7 @@
 
 class RefusalBody(Message):
     """
-    Body of an error response.
+    Describe a failure to a caller.
 
     Attributes
     ----------
@@ -59,7 +59,7 @@
 
 def refuse(failure: UpstreamFailure, rng: random.Random) -> web.Response:
     """
-    Build the error response for a failure.
+    Build the response that reports a failure.
 
     Parameters
     ----------
@@ -67,7 +67,7 @@
         The failure to report.
     rng : Random
         Source of the jitter in ``Retry-After``, which keeps callers that
-        were rejected together from retrying together.
+        were refused together from retrying together.
     """
     status = get_status(failure)
     response = respond(
@@ -78,6 +78,6 @@
         wait_ms = failure.retry_after_ms
         if wait_ms is None or math.isinf(wait_ms):
             wait_ms = global_settings.GATEWAY_RETRY_AFTER_MS
-        spread = 1 + rng.random() * global_settings.RETRY_AFTER_SPREAD
-        response.headers['Retry-After'] = f'{wait_ms * spread / 1000:.3f}'
+        jitter = 1 + rng.random() * global_settings.RETRY_AFTER_SPREAD
+        response.headers['Retry-After'] = f'{wait_ms * jitter / 1000:.3f}'
     return response
--- a/packages/ragworthollow-daemon/src/ragworthollow_daemon/gateway/request_job.py
+++ b/packages/ragworthollow-daemon/src/ragworthollow_daemon/gateway/request_job.py
@@ -13,7 +13,7 @@
 @dataclass(frozen=True, kw_only=True, slots=True)
 class RequestJob:
     """
-    Request of a caller after admission.
+    Hold a request after its admission.
 
     Attributes
     ----------
@@ -29,7 +29,7 @@
         Owner of the API key; None if the request has no known key and needs
         none.
     pool : str
-        Pool that answers the request.
+        Pool that serves the request after its stages.
     table : RouteTable
         Configuration that applies to the request.
     waited_ms : float
@@ -39,7 +39,7 @@
         Identifier that is the same for each attempt at the same work.
     received_ms, deadline_ms : float
         Times on the monotonic clock, in milliseconds; after the deadline the
-        caller no longer waits for an answer.
+        caller no longer waits for a response.
     """
 
     request: web.BaseRequest
@@ -55,7 +55,7 @@
     deadline_ms: float
 
     def get_goal_ms(self) -> float:
-        """Return when the objective, counted from the first attempt, ends."""
+        """Return the objective deadline, counted from the first attempt."""
         return self.received_ms - self.waited_ms + self.route.objective_ms
 
     def get_remaining_ms(self) -> float:
@@ -81,8 +81,8 @@
 
     def get_homes(self) -> Homes | None:
         """Return the regions in which the request may run; None for any."""
-        own = None if self.holder is None else self.holder.homes
-        return intersect_homes(self.route.homes, own)
+        holder_regions = None if self.holder is None else self.holder.homes
+        return intersect_homes(self.route.homes, holder_regions)
 
     def get_priority(self) -> int:
         """Return the organisation's priority, or else the route's."""
--- a/packages/ragworthollow-daemon/src/ragworthollow_daemon/gateway/request_runner.py
+++ b/packages/ragworthollow-daemon/src/ragworthollow_daemon/gateway/request_runner.py
@@ -8,7 +8,10 @@
 
 from ragworthollow.outcomes import Outcome, Reason
 from ragworthollow.routes.homes import may_run_in
-from ragworthollow_daemon.gateway.admission import make_refusal, make_stopping
+from ragworthollow_daemon.gateway.admission import (
+    make_refusal,
+    make_shutdown_failure,
+)
 from ragworthollow_daemon.gateway.answer_progress import AnswerProgress
 from ragworthollow_daemon.gateway.context import GatewayContext
 from ragworthollow_daemon.gateway.deferral import Deferral
@@ -21,9 +24,9 @@
 from ragworthollow_daemon.gateway.stage_work import StageWork
 from ragworthollow_daemon.gateway.upstream_failure import UpstreamFailure
 
-_GIVEN_UP = frozenset((Reason.overloaded, Reason.stage_late))
+_DEFERRABLE_REASONS = frozenset((Reason.overloaded, Reason.stage_late))
 
-Answered = Result[web.StreamResponse, UpstreamFailure]
+ResponseResult = Result[web.StreamResponse, UpstreamFailure]
 
 
 class RequestRunner:
@@ -56,7 +59,7 @@
         self,
         job: RequestJob,
         progress: AnswerProgress,
-    ) -> Answered:
+    ) -> ResponseResult:
         """
         Serve a request, deferring it if it cannot meet its objective.
 
@@ -65,49 +68,49 @@
         job : RequestJob
             The request.
         progress : AnswerProgress
-            Updated with the progress of the answer.
+            Records the progress of the response.
 
         Returns
         -------
         Result
             The response, or the failure.
         """
-        hopeless = self._refuse_for_good(job)
-        if hopeless is not None:
-            return Err(hopeless)
-        way = StageWay(
+        final_refusal = self._find_final_refusal(job)
+        if final_refusal is not None:
+            return Err(final_refusal)
+        estimate = StageWay(
             job=job,
             answer_ms=self._context.get_answer_time(job.pool).estimate_ms(
                 job.terms.prompt_tokens,
             ),
         )
-        refusal = self._refuse(job, way)
-        while refusal is None or await self._defer(job, way):
+        refusal = self._find_refusal(job, estimate)
+        while refusal is None or await self._defer(job, estimate):
             if refusal is not None:
-                way = way.begin_late()
+                estimate = estimate.begin_late()
             stages = StageWork(
                 client=self._pieces,
                 job=job,
-                way=way,
+                way=estimate,
                 failure_domain=self._forwarder.expect_failure_domain(job),
             )
             try:
-                answered = await self._run(job, stages, progress)
+                result = await self._run_once(job, stages, progress)
             finally:
                 stages.free()
-            if not _may_be_deferred(answered, stages):
-                return answered
-            refusal = answered.err_value
+            if not _may_be_deferred(result, stages):
+                return result
+            refusal = result.err_value
         return Err(refusal)
 
-    def _refuse_for_good(self, job: RequestJob) -> UpstreamFailure | None:
-        """Return a rejection that deferral cannot avoid, or None."""
-        left_ms = self._context.quarantine.get_left_ms(job.fingerprint)
-        if left_ms:
+    def _find_final_refusal(self, job: RequestJob) -> UpstreamFailure | None:
+        """Return a refusal that deferral could not avoid, or None."""
+        remaining_ms = self._context.quarantine.get_left_ms(job.fingerprint)
+        if remaining_ms:
             return make_refusal(
                 Reason.quarantined,
                 job.pool,
-                retry_after_ms=left_ms,
+                retry_after_ms=remaining_ms,
             )
         directory = self._context.directory
         pause_ms = directory.get_pool_pause_ms(job.pool)
@@ -128,49 +131,54 @@
         for pool in job.get_pools():
             if directory.is_pool_drained(pool):
                 return make_refusal(Reason.domain_drained, pool)
-            if self._is_away_from_home(job, pool):
+            if self._is_outside_allowed_regions(job, pool):
                 return make_refusal(Reason.no_instance, pool)
         return None
 
-    def _is_away_from_home(self, job: RequestJob, pool: str) -> bool:
+    def _is_outside_allowed_regions(self, job: RequestJob, pool: str) -> bool:
         """Tell whether all instances of a pool are in disallowed regions."""
-        homes = job.get_homes()
-        if homes is None:
+        allowed_regions = job.get_homes()
+        if allowed_regions is None:
             return False
         instances = self._context.directory.get_pool(pool)
         return bool(instances) and not any(
-            may_run_in(one.region, homes) for one in instances
+            may_run_in(instance.region, allowed_regions)
+            for instance in instances
         )
 
-    def _refuse(
+    def _find_refusal(
         self,
         job: RequestJob,
-        way: StageWay,
+        estimate: StageWay,
     ) -> UpstreamFailure | None:
         """Return why a request cannot start now, or None if it can."""
         if not self._context.directory.get_pool(job.pool):
             return make_refusal(Reason.no_instance, job.pool)
-        return refuse_late(job, way, self._pieces.get_waits_ms)
+        return refuse_late(job, estimate, self._pieces.get_waits_ms)
 
-    async def _defer(self, job: RequestJob, way: StageWay) -> bool:
+    async def _defer(self, job: RequestJob, estimate: StageWay) -> bool:
         """Wait for spare capacity; return False if none was found in time."""
         may_begin = await self._context.stop.run(
-            self.deferral.wait(job, way),
+            self.deferral.wait(job, estimate),
         )
         return bool(may_begin)
 
-    async def _run(
+    async def _run_once(
         self,
         job: RequestJob,
         stages: StageWork,
         progress: AnswerProgress,
-    ) -> Answered:
-        made = await self._context.stop.run(self._run_stages(stages, job))
-        if made is None:
-            return Err(make_stopping(job.pool, Outcome.not_run))
-        if isinstance(made, Err):
-            return made
-        return await self._forward(job, made.ok_value, stages.free, progress)
+    ) -> ResponseResult:
+        stage_results = await self._context.stop.run(
+            self._run_stages(stages, job)
+        )
+        if stage_results is None:
+            return Err(make_shutdown_failure(job.pool, Outcome.not_run))
+        if isinstance(stage_results, Err):
+            return stage_results
+        return await self._forward(
+            job, stage_results.ok_value, stages.free, progress
+        )
 
     async def _forward(
         self,
@@ -178,14 +186,14 @@
         inputs: tuple[str, ...],
         on_inputs_read: Callable[[], None],
         progress: AnswerProgress,
-    ) -> Answered:
-        answered = await self._context.stop.run(
+    ) -> ResponseResult:
+        result = await self._context.stop.run(
             self._forwarder.forward(job, inputs, on_inputs_read, progress),
             may_end=lambda: not progress.is_started,
         )
-        if answered is None:
-            return Err(make_stopping(job.pool, Outcome.unknown))
-        return answered
+        if result is None:
+            return Err(make_shutdown_failure(job.pool, Outcome.unknown))
+        return result
 
     async def _run_stages(
         self,
@@ -199,8 +207,8 @@
             return Err(make_refusal(Reason.deadline_exceeded, job.pool))
 
 
-def _may_be_deferred(answered: Answered, stages: StageWork) -> bool:
-    """Tell whether stages were abandoned before producing any result."""
-    if not isinstance(answered, Err) or stages.has_spent:
+def _may_be_deferred(result: ResponseResult, stages: StageWork) -> bool:
+    """Tell whether the stages were given up before producing results."""
+    if not isinstance(result, Err) or stages.has_produced_results:
         return False
-    return answered.err_value.reason in _GIVEN_UP
+    return result.err_value.reason in _DEFERRABLE_REASONS
--- a/packages/ragworthollow-daemon/src/ragworthollow_daemon/gateway/result_holding.py
+++ b/packages/ragworthollow-daemon/src/ragworthollow_daemon/gateway/result_holding.py
@@ -1,4 +1,4 @@
-"""Tell new hosts of gates what the requests of this gateway hold."""
+"""Report the results in use by this gateway to new scheduler hosts."""
 
 from collections.abc import Sequence
 
@@ -13,25 +13,25 @@
 from ragworthollow_daemon.gateway.context import GatewayContext
 from ragworthollow_daemon.gateway.gate_handover import (
     TRANSFER_PATH,
-    describe_results,
+    make_result_messages,
 )
 from ragworthollow_daemon.gateway.held_results import HeldResults
 from ragworthollow_daemon.gateway.peer_notes import tell_peer
 from ragworthollow_daemon.gateway.piece_service import PieceService
 
 
-class ResultHolding:
+class ResultUseReporter:
     """
-    Keep the results of this gateway's requests known to their gates.
+    Keep schedulers informed of the results that local requests use.
 
     Parameters
     ----------
     context : GatewayContext
-        Of this process.
+        Shared state of this process.
     members : GatewayMembers
-        Who hosts which gate.
+        Provides the host of each pool.
     service : PieceService
-        Gates hosted by this process.
+        Schedulers hosted by this process.
     """
 
     def __init__(
@@ -44,7 +44,7 @@
         self._context = context
         self._members = members
         self._service = service
-        self._held = HeldResults()
+        self._in_use = HeldResults()
 
     def add(
         self,
@@ -52,56 +52,56 @@
         pieces: Sequence[Piece],
         results: Sequence[PieceResult],
     ) -> None:
-        """Note the results of pieces, in their order."""
-        until_ms = get_monotonic_ms() + self._service.get_kept_ms(pool)
-        self._held.add(
+        """Record the results of pieces, given in the same order."""
+        expires_ms = get_monotonic_ms() + self._service.get_result_ttl_ms(pool)
+        self._in_use.add(
             pool,
             (
                 KeptResult(
-                    handle=made.handle,
-                    instance=self._find_maker(pool, made.handle),
+                    handle=result.handle,
+                    instance=self._find_producer(pool, result.handle),
                     result_bytes=piece.result_bytes,
-                    until_ms=until_ms,
+                    until_ms=expires_ms,
                     asker=piece.asker,
                 )
-                for piece, made in zip(pieces, results, strict=True)
-                if made.handle
+                for piece, result in zip(pieces, results, strict=True)
+                if result.handle
             ),
         )
 
     def remove(self, pool: str, handles: Sequence[str]) -> None:
-        """Note that results are given up."""
-        self._held.remove(pool, handles)
+        """Record that results are released."""
+        self._in_use.remove(pool, handles)
 
     def tell_new_hosts(self) -> None:
-        """Tell gateways that host a gate anew what space is taken."""
+        """Report the results in use to new hosts of schedulers."""
         now_ms = get_monotonic_ms()
-        for pool in self._held.get_pools():
+        for pool in self._in_use.get_pools():
             host = self._members.find_host(pool)
-            name = '' if host is None else host.incarnation
-            held = self._held.take_for_host(pool, name, now_ms)
-            if not held:
+            incarnation = '' if host is None else host.incarnation
+            results = self._in_use.take_for_host(pool, incarnation, now_ms)
+            if not results:
                 continue
             if host is None:
-                self._service.keep_results(pool, held)
+                self._service.add_stored_results(pool, results)
             else:
-                self._context.spawn(self._tell(host, pool, held))
+                self._context.spawn(self._notify(host, pool, results))
 
-    async def _tell(
+    async def _notify(
         self,
         host: GatewayMember,
         pool: str,
-        held: tuple[KeptResult, ...],
+        results: tuple[KeptResult, ...],
     ) -> None:
         transfer = GateTransfer(
             pool=pool,
             source=self._context.settings.instance,
-            kept=describe_results(held, get_monotonic_ms()),
+            kept=make_result_messages(results, get_monotonic_ms()),
         )
         body = msgspec.json.encode(transfer)
         await tell_peer(self._context, host, TRANSFER_PATH, body)
 
-    def _find_maker(self, pool: str, handle: str) -> str:
+    def _find_producer(self, pool: str, handle: str) -> str:
         address = get_maker_address(handle)
-        maker = self._context.directory.find_at(pool, address)
-        return '' if maker is None else maker.instance
+        producer = self._context.directory.find_at(pool, address)
+        return '' if producer is None else producer.instance
--- a/packages/ragworthollow-daemon/src/ragworthollow_daemon/gateway/result_releases.py
+++ b/packages/ragworthollow-daemon/src/ragworthollow_daemon/gateway/result_releases.py
@@ -1,4 +1,4 @@
-"""Give results up at the instances that made them."""
+"""Release results at the instances that produced them."""
 
 import asyncio
 
@@ -24,12 +24,13 @@
 _MILLISECONDS = 1000
 
 
-class ResultReleases:
+class ResultReleaser:
     """
-    Tell makers which results nobody needs any more.
+    Notify producers of results that are no longer needed.
 
-    A throttled instance takes few messages, calls for pieces among them: what
-    is to be released there meanwhile is told at once when its turn comes.
+    A throttled instance accepts few messages, and calls for pieces count
+    among them.  Results to release at such an instance are collected and
+    sent in one message as soon as it may receive one.
     """
 
     def __init__(self) -> None:
@@ -38,42 +39,42 @@
     async def release(
         self,
         context: GatewayContext,
-        maker: str,
+        producer: str,
         handles: tuple[str, ...],
     ) -> None:
         """
-        Give results up at the instance that made them.
+        Release results at the instance that produced them.
 
         Parameters
         ----------
         context : GatewayContext
-            Of this process.
-        maker : str
+            Shared state of this process.
+        producer : str
             The instance.
         handles : tuple of str
-            Names of the results.
+            Handles of the results.
         """
-        is_waiting = maker in self._pending
-        self._pending[maker] = (*self._pending.get(maker, ()), *handles)
+        is_waiting = producer in self._pending
+        self._pending[producer] = (*self._pending.get(producer, ()), *handles)
         if is_waiting:
             return
-        instance = await _wait_turn(context, maker)
-        pending = self._pending.pop(maker)
+        instance = await _wait_until_available(context, producer)
+        pending = self._pending.pop(producer)
         if instance is not None:
-            await _tell(context, instance, pending)
+            await _send_release(context, instance, pending)
 
 
-async def _wait_turn(
+async def _wait_until_available(
     context: GatewayContext,
-    maker: str,
+    producer: str,
 ) -> UpstreamInstance | None:
     """
-    Return an instance when it may get a message; None if it may get none.
+    Return an instance once it may receive a message, or None if it may not.
 
-    Its space is given up after a while without being told.
+    An instance that receives no message releases its results on expiry.
     """
     while True:
-        instance = context.directory.get(maker)
+        instance = context.directory.get(producer)
         if instance is None or context.directory.get_pause_left_ms(instance):
             return None
         throttle = PoolThrottle(
@@ -86,12 +87,12 @@
         await asyncio.sleep(throttle.get_wait_ms(instance) / _MILLISECONDS)
 
 
-async def _tell(
+async def _send_release(
     context: GatewayContext,
     instance: UpstreamInstance,
     handles: tuple[str, ...],
 ) -> None:
-    asked_ms = get_boottime_ms()
+    sent_ms = get_boottime_ms()
     try:
         async with context.upstream_session.post(
             f'http://{instance.address}{FREE_PATH}',
@@ -109,11 +110,11 @@
                 context,
                 instance,
                 read_marks(response.status, response.headers),
-                asked_ms=asked_ms,
+                asked_ms=sent_ms,
             )
             await response.read()
     except (TimeoutError, aiohttp.ClientError, OSError) as error:
-        # The maker frees results by itself after a while.
+        # The producer drops results by itself when they expire.
         context.metrics.count_event('free_failed')
         log_event(
             'free_failed',
--- a/packages/ragworthollow-daemon/src/ragworthollow_daemon/gateway/stage_way.py
+++ b/packages/ragworthollow-daemon/src/ragworthollow_daemon/gateway/stage_way.py
@@ -17,7 +17,7 @@
         The request.
     answer_ms : float
         Expected time in milliseconds from the end of the last stage to the
-        first event of the answer.
+        first event of the response.
     is_deferred : bool
         Whether the request was deferred, so that it ranks behind requests
         that can still meet their objective.
@@ -30,18 +30,18 @@
         answer_ms: float,
         is_deferred: bool = False,
     ) -> None:
-        self.active = job.get_active_stages()
+        self.active_stages = job.get_active_stages()
         self._job = job
         self._is_deferred = is_deferred
         self._stages = job.route.stages
         self._counts = job.terms.piece_counts
-        self._answer_ms = answer_ms
+        self._first_event_ms = answer_ms
 
     def begin_late(self) -> 'StageWay':
         """Return the estimates for the request as a deferred one."""
         return StageWay(
             job=self._job,
-            answer_ms=self._answer_ms,
+            answer_ms=self._first_event_ms,
             is_deferred=True,
         )
 
@@ -51,30 +51,32 @@
         now_ms: float,
     ) -> float:
         """Estimate the lateness in milliseconds as if it had just arrived."""
-        passed_ms = now_ms + self._job.route.objective_ms
+        new_deadline_ms = now_ms + self._job.route.objective_ms
         late_ms = self.find_lateness_ms(waits_ms)
-        return late_ms + self._job.get_goal_ms() - passed_ms
+        return late_ms + self._job.get_goal_ms() - new_deadline_ms
 
     def get_latest_start_ms(self) -> float:
-        """Return the latest start for an answer before the caller gives up."""
-        way_ms = self._estimate_way_ms({}) + self._answer_ms
+        """Return the latest start for a response before the caller gives up."""
+        total_ms = self._estimate_stages_ms({}) + self._first_event_ms
         margin_ms = global_settings.DEFERRAL_MARGIN_MS
-        return self._get_caller_end_ms() - way_ms - margin_ms
+        return self._get_caller_give_up_ms() - total_ms - margin_ms
 
-    def _get_caller_end_ms(self) -> float:
+    def _get_caller_give_up_ms(self) -> float:
         """Return when the caller gives up if it has received no event."""
-        patience_ms = max(
+        caller_timeout_ms = max(
             global_settings.CALLER_PATIENCE_LEAST_MS,
             self._job.route.objective_ms * global_settings.CALLER_PATIENCE,
         )
-        return min(self._job.deadline_ms, self._job.received_ms + patience_ms)
+        return min(
+            self._job.deadline_ms, self._job.received_ms + caller_timeout_ms
+        )
 
-    def get_readers(self, position: int) -> list[int]:
+    def get_consumers(self, position: int) -> list[int]:
         """Return the active stages that read the results of a stage."""
         return [
-            reader
-            for reader in self.active
-            if position in self._stages[reader].after
+            consumer
+            for consumer in self.active_stages
+            if position in self._stages[consumer].after
         ]
 
     def find_lateness_ms(self, waits_ms: Mapping[str, float]) -> float:
@@ -91,18 +93,20 @@
         float
             Milliseconds, negative if the request should meet its objective.
             Minus infinity if the waits add nothing to the time of the stages:
-            an estimate of the processing time alone never rejects a request.
+            an estimate of the processing time alone never refuses a request.
         """
-        way_ms = self._estimate_way_ms(waits_ms)
-        if way_ms <= self._estimate_way_ms({}):
+        stages_ms = self._estimate_stages_ms(waits_ms)
+        if stages_ms <= self._estimate_stages_ms({}):
             return float('-inf')
-        ends_ms = get_monotonic_ms() + way_ms + self._answer_ms
-        return ends_ms - self._job.get_goal_ms()
+        answered_ms = get_monotonic_ms() + stages_ms + self._first_event_ms
+        return answered_ms - self._job.get_goal_ms()
 
     def get_due_ms(self, position: int) -> float:
         """Return the latest start of a stage that meets the objective."""
-        rest_ms = self._answer_ms + self._estimate_rest_ms(position)
-        return self._job.get_goal_ms() - rest_ms
+        remaining_ms = self._first_event_ms + self._estimate_remaining_ms(
+            position
+        )
+        return self._job.get_goal_ms() - remaining_ms
 
     def get_give_up_ms(self, position: int) -> float:
         """
@@ -119,43 +123,46 @@
     def get_expiry_ms(self) -> float:
         """Return when waiting for the results of stages ends."""
         if self._is_deferred:
-            return self._get_caller_end_ms()
-        patience_ms = (
+            return self._get_caller_give_up_ms()
+        stage_timeout_ms = (
             self._job.route.objective_ms * global_settings.STAGE_PATIENCE
         )
         return min(
             self._job.deadline_ms,
-            self._job.received_ms + patience_ms,
+            self._job.received_ms + stage_timeout_ms,
         )
 
-    def _estimate_way_ms(self, waits_ms: Mapping[str, float]) -> float:
+    def _estimate_stages_ms(self, waits_ms: Mapping[str, float]) -> float:
         """
         Estimate how long all stages take from now, in milliseconds.
 
         Part of a pool's current wait has passed by the time the request
         reaches a later stage.
         """
-        ends_ms: dict[int, float] = {}
-        for position in self.active:
+        stage_ends_ms: dict[int, float] = {}
+        for position in self.active_stages:
             stage = self._stages[position]
-            starts_ms = max(
-                (ends_ms.get(before, 0) for before in stage.after),
+            start_ms = max(
+                (
+                    stage_ends_ms.get(dependency, 0)
+                    for dependency in stage.after
+                ),
                 default=0,
             )
-            wait_ms = max(0, waits_ms.get(stage.pool, 0) - starts_ms)
-            own_ms = self._estimate_own_ms(position)
-            ends_ms[position] = starts_ms + wait_ms + own_ms
-        return max(ends_ms.values(), default=0)
+            wait_ms = max(0, waits_ms.get(stage.pool, 0) - start_ms)
+            call_ms = self._estimate_call_ms(position)
+            stage_ends_ms[position] = start_ms + wait_ms + call_ms
+        return max(stage_ends_ms.values(), default=0)
 
-    def _estimate_rest_ms(self, position: int) -> float:
+    def _estimate_remaining_ms(self, position: int) -> float:
         """Estimate the time from the start of a stage to the end of all."""
-        later_ms = [
-            self._estimate_rest_ms(reader)
-            for reader in self.get_readers(position)
+        following_ms = [
+            self._estimate_remaining_ms(consumer)
+            for consumer in self.get_consumers(position)
         ]
-        return self._estimate_own_ms(position) + max(later_ms, default=0)
+        return self._estimate_call_ms(position) + max(following_ms, default=0)
 
-    def _estimate_own_ms(self, position: int) -> float:
+    def _estimate_call_ms(self, position: int) -> float:
         """Estimate the time that a call for a stage takes."""
         pool = self._job.table.pools.get(self._stages[position].pool)
         if pool is None or pool.pieces is None:
--- a/packages/ragworthollow-daemon/src/ragworthollow_daemon/gateway/stage_work.py
+++ b/packages/ragworthollow-daemon/src/ragworthollow_daemon/gateway/stage_work.py
@@ -46,14 +46,14 @@
         way: StageWay,
         failure_domain: str,
     ) -> None:
-        self._way = way
+        self._estimate = way
         self._failure_domain = failure_domain
         self._client = client
         self._job = job
         self._handles: dict[int, tuple[str, ...]] = {}
-        self._active = way.active
+        self._active_stages = way.active_stages
         self._announced: set[int] = set()
-        self.has_spent = False
+        self.has_produced_results = False
 
     async def run(self) -> Result[tuple[str, ...], UpstreamFailure]:
         """
@@ -66,7 +66,7 @@
             failure of a stage.
         """
         tasks: dict[int, asyncio.Task[UpstreamFailure | None]] = {}
-        for position in self._active:
+        for position in self._active_stages:
             self._announce(position)
             tasks[position] = asyncio.ensure_future(
                 self._run_stage(position, tasks),
@@ -82,22 +82,22 @@
                 task.cancel()
             for position in tuple(self._announced):
                 self._withdraw(position)
-        return Ok(self._collect())
+        return Ok(self._collect_final_handles())
 
     def free(self) -> None:
         """Release all results."""
         for position in tuple(self._handles):
-            self._free_stage(position)
+            self._release_stage(position)
 
     def _announce(self, position: int) -> None:
         self._announced.add(position)
-        self._tell_pieces(position, 1)
+        self._change_announced(position, 1)
 
     def _withdraw(self, position: int) -> None:
         self._announced.remove(position)
-        self._tell_pieces(position, -1)
+        self._change_announced(position, -1)
 
-    def _tell_pieces(self, position: int, sign: int) -> None:
+    def _change_announced(self, position: int, sign: int) -> None:
         stage = self._job.route.stages[position]
         pieces = self._job.terms.piece_counts[position]
         self._client.announce(
@@ -106,16 +106,16 @@
             sign * pieces,
         )
 
-    def _free_stage(self, position: int) -> None:
+    def _release_stage(self, position: int) -> None:
         stage = self._job.route.stages[position]
-        self._client.free(stage.pool, self._handles.pop(position, ()))
+        self._client.release(stage.pool, self._handles.pop(position, ()))
 
-    def _collect(self) -> tuple[str, ...]:
+    def _collect_final_handles(self) -> tuple[str, ...]:
         """Return the results that no other active stage reads."""
         return tuple(
             handle
-            for position in self._active
-            if not self._way.get_readers(position)
+            for position in self._active_stages
+            if not self._estimate.get_consumers(position)
             for handle in self._handles[position]
         )
 
@@ -127,64 +127,72 @@
         # Yield to the event loop once, so that all stages have their tasks.
         await asyncio.sleep(0)
         stage = self._job.route.stages[position]
-        read = [before for before in stage.after if before in tasks]
-        for before in read:
-            failure = await asyncio.shield(tasks[before])
+        dependencies = [
+            dependency for dependency in stage.after if dependency in tasks
+        ]
+        for dependency in dependencies:
+            failure = await asyncio.shield(tasks[dependency])
             if failure is not None:
                 return failure
         inputs = tuple(
-            handle for earlier in read for handle in self._handles[earlier]
+            handle
+            for earlier in dependencies
+            for handle in self._handles[earlier]
+        )
+        domain = choose_domain(
+            self._sum_bytes_by_domain(position, dependencies),
         )
-        domain = choose_domain(self._weigh_domains(position, read))
         pieces = self._make_pieces(position, inputs, domain)
         self._withdraw(position)
-        found = await self._client.run(stage.pool, pieces)
+        results = await self._client.run(stage.pool, pieces)
         self._handles[position] = tuple(
-            one.handle for one in found if one.handle
+            result.handle for result in results if result.handle
         )
         if self._handles[position]:
-            self.has_spent = True
-        self._free_read(read)
-        return _find_failure(found, stage.pool)
+            self.has_produced_results = True
+        self._release_consumed(dependencies)
+        return _find_failure(results, stage.pool)
 
-    def _weigh_domains(
+    def _sum_bytes_by_domain(
         self,
         position: int,
-        read: list[int],
+        dependencies: list[int],
     ) -> dict[str, float]:
         """Sum the bytes that a stage exchanges with each failure domain."""
         stages = self._job.route.stages
         counts = self._job.terms.piece_counts
         weights = {
-            domain: lying_bytes * counts[position]
-            for domain, lying_bytes in self._weigh_results(read).items()
+            domain: stored_bytes * counts[position]
+            for domain, stored_bytes in self._sum_result_bytes(
+                dependencies,
+            ).items()
         }
         # Stages are placed near the results that they read; only the results
         # of final stages are read where the request itself runs.
-        if not self._way.get_readers(position):
-            made_bytes = stages[position].result_bytes * counts[position]
-            home = self._failure_domain
-            weights[home] = weights.get(home, 0) + made_bytes
+        if not self._estimate.get_consumers(position):
+            output_bytes = stages[position].result_bytes * counts[position]
+            target = self._failure_domain
+            weights[target] = weights.get(target, 0) + output_bytes
         return weights
 
-    def _weigh_results(self, positions: list[int]) -> dict[str, float]:
+    def _sum_result_bytes(self, positions: list[int]) -> dict[str, float]:
         """Sum the bytes of results by the domain in which they are stored."""
         weights: dict[str, float] = {}
         for position in positions:
             stage = self._job.route.stages[position]
             for handle in self._handles[position]:
-                domain = self._client.find_domain(stage.pool, handle)
+                domain = self._client.find_failure_domain(stage.pool, handle)
                 weights[domain] = weights.get(domain, 0) + stage.result_bytes
         return weights
 
-    def _free_read(self, read: list[int]) -> None:
-        """Release results once all stages that need them have read them."""
-        for before in read:
+    def _release_consumed(self, dependencies: list[int]) -> None:
+        """Release results that all stages depending on them have read."""
+        for dependency in dependencies:
             if all(
-                reader in self._handles
-                for reader in self._way.get_readers(before)
+                consumer in self._handles
+                for consumer in self._estimate.get_consumers(dependency)
             ):
-                self._free_stage(before)
+                self._release_stage(dependency)
 
     def _make_pieces(
         self,
@@ -194,7 +202,7 @@
     ) -> tuple[Piece, ...]:
         stage = self._job.route.stages[position]
         counts = self._job.terms.piece_counts
-        due_ms = self._way.get_due_ms(position)
+        due_ms = self._estimate.get_due_ms(position)
         return tuple(
             Piece(
                 request_id=self._job.terms.request_id,
@@ -203,12 +211,12 @@
                 key='' if inputs else self._job.terms.piece_key,
                 inputs=inputs,
                 due_ms=due_ms,
-                give_up_ms=self._way.get_give_up_ms(position),
-                expires_ms=self._way.get_expiry_ms(),
+                give_up_ms=self._estimate.get_give_up_ms(position),
+                expires_ms=self._estimate.get_expiry_ms(),
                 result_bytes=stage.result_bytes,
                 failure_domain=failure_domain,
                 priority=self._job.get_priority(),
-                asker=self._client.asker,
+                asker=self._client.requester,
                 fingerprint=self._job.fingerprint,
                 homes=self._job.get_homes(),
             )
@@ -217,17 +225,17 @@
 
 
 def _find_failure(
-    found: tuple[PieceResult, ...],
+    results: tuple[PieceResult, ...],
     pool: str,
 ) -> UpstreamFailure | None:
-    for one in found:
-        if one.outcome is not PieceOutcome.done:
+    for result in results:
+        if result.outcome is not PieceOutcome.done:
             return UpstreamFailure(
                 outcome=Outcome.not_run,
-                reason=_REASONS.get(one.outcome, Reason.stage_failed),
+                reason=_REASONS.get(result.outcome, Reason.stage_failed),
                 step=_STEP,
                 peer=pool,
-                detail=f'a piece ended {one.outcome}',
-                retry_after_ms=one.wait_ms or None,
+                detail=f'a piece ended with outcome {result.outcome}',
+                retry_after_ms=result.wait_ms or None,
             )
     return None
