--- a/packages/ragworthollow-daemon/src/ragworthollow_daemon/gateway/admission.py
+++ b/packages/ragworthollow-daemon/src/ragworthollow_daemon/gateway/admission.py
@@ -42,7 +42,7 @@
         received_ms: float,
     ) -> Result[RequestJob, UpstreamFailure]:
         """
-        Read the body of a request, then admit or refuse it.
+        Admit or refuse a request, reading its body.
 
         Parameters
         ----------
@@ -213,7 +213,7 @@
     route_name: str,
 ) -> Result[bytes, UpstreamFailure]:
     """
-    Read the whole body within the time limit of the request.
+    Read the full body within the time limit of the request.
 
     Without a time limit, a caller that stops sending in the middle of the
     body would keep its connection open indefinitely.
@@ -232,7 +232,7 @@
     request: web.BaseRequest,
     limit_bytes: int,
 ) -> bytes | None:
-    """Return the whole body, or None if it exceeds the size limit."""
+    """Return the full body, or None if it exceeds the size limit."""
     if not request.body_exists:
         return b''
     chunks: list[bytes] = []
--- a/packages/ragworthollow-daemon/src/ragworthollow_daemon/gateway/call_space.py
+++ b/packages/ragworthollow-daemon/src/ragworthollow_daemon/gateway/call_space.py
@@ -51,7 +51,7 @@
         for stored_result in stored_results:
             scheduler.room.keep(stored_result)
         if any(result.outcome is PieceOutcome.no_room for result in results):
-            stored_bytes = sum(stored.result_bytes for stored in stored_results)
+            stored_bytes = sum(result.result_bytes for result in stored_results)
             scheduler.room.note_unknown(
                 call.instance.instance,
                 int(max(0, call.free_bytes - stored_bytes)),
--- a/packages/ragworthollow-daemon/src/ragworthollow_daemon/gateway/deferral.py
+++ b/packages/ragworthollow-daemon/src/ragworthollow_daemon/gateway/deferral.py
@@ -92,7 +92,7 @@
         -------
         bool
             Whether the request may start now; False if its caller would give
-            up before the answer.
+            up before the response.
         """
         now_ms = get_monotonic_ms()
         latest_start_ms = estimate.get_latest_start_ms()
@@ -122,8 +122,8 @@
         for deferred in self._queue:
             if deferred.latest_start_ms <= now_ms:
                 _resolve(deferred, may_begin=False)
-        # Hosts report their waits once per ping: a request started before the
-        # next ping would ignore the load of the previous one.
+        # Hosts report their waits once per ping.  If two requests started
+        # between two pings, the second would ignore the load of the first.
         if now_ms - self._last_start_ms < global_settings.HOST_PING_MS:
             return
         for deferred in sorted(self._queue, key=_rank):
--- a/packages/ragworthollow-daemon/src/ragworthollow_daemon/gateway/lateness.py
+++ b/packages/ragworthollow-daemon/src/ragworthollow_daemon/gateway/lateness.py
@@ -15,7 +15,7 @@
 
 def refuse_late(
     job: RequestJob,
-    way: StageWay,
+    estimate: StageWay,
     get_waits_ms: GetWaits,
 ) -> UpstreamFailure | None:
     """
@@ -25,7 +25,7 @@
     ----------
     job : RequestJob
         The request.
-    way : StageWay
+    estimate : StageWay
         Estimates of the time that the request takes.
     get_waits_ms : callable
         Returns the expected waits in milliseconds by pool, given the pools
@@ -38,7 +38,7 @@
     """
     pools = {stage.pool for stage in job.route.stages}
     waits_ms = get_waits_ms(pools, job.get_priority())
-    late_ms = way.find_lateness_ms(waits_ms)
+    late_ms = estimate.find_lateness_ms(waits_ms)
     allowed_ms = _get_allowed_lateness_ms(job)
     if late_ms <= allowed_ms:
         return None
--- a/packages/ragworthollow-daemon/src/ragworthollow_daemon/gateway/piece_client.py
+++ b/packages/ragworthollow-daemon/src/ragworthollow_daemon/gateway/piece_client.py
@@ -85,9 +85,9 @@
                 if result.outcome is not PieceOutcome.moved
             )
             pending = tuple(
-                piece
-                for piece in pieces
-                if piece.number not in results_by_number
+                requested
+                for requested in pieces
+                if requested.number not in results_by_number
             )
         results = tuple(results_by_number[piece.number] for piece in pieces)
         self._results_in_use.add(pool, pieces, results)
--- a/packages/ragworthollow-daemon/src/ragworthollow_daemon/gateway/request_runner.py
+++ b/packages/ragworthollow-daemon/src/ragworthollow_daemon/gateway/request_runner.py
@@ -208,7 +208,7 @@
 
 
 def _may_be_deferred(result: ResponseResult, stages: StageWork) -> bool:
-    """Tell whether the stages were given up before producing results."""
+    """Tell whether stages were refused or late before any result."""
     if not isinstance(result, Err) or stages.has_produced_results:
         return False
     return result.err_value.reason in _DEFERRABLE_REASONS
--- a/packages/ragworthollow-daemon/src/ragworthollow_daemon/gateway/stage_work.py
+++ b/packages/ragworthollow-daemon/src/ragworthollow_daemon/gateway/stage_work.py
@@ -1,4 +1,4 @@
-"""Run the stages that precede the answer to a request."""
+"""Run the stages that precede the response to a request."""
 
 import asyncio
 
@@ -33,7 +33,7 @@
     job : RequestJob
         The request.
     way : StageWay
-        Estimates of the time that its stages take.
+        Estimates of the time that the request takes.
     failure_domain : str
         Failure domain in which the request itself is expected to run.
     """
@@ -167,8 +167,8 @@
                 dependencies,
             ).items()
         }
-        # Stages are placed near the results that they read; only the results
-        # of final stages are read where the request itself runs.
+        # Stages run in the domain that stores the results they read; only the
+        # results of final stages are read where the request itself runs.
         if not self._estimate.get_consumers(position):
             output_bytes = stages[position].result_bytes * counts[position]
             target = self._failure_domain
