--- a/packages/ragworthollow-daemon/src/ragworthollow_daemon/gateway/deferral.py
+++ b/packages/ragworthollow-daemon/src/ragworthollow_daemon/gateway/deferral.py
@@ -1,4 +1,4 @@
-"""Hold requests that cannot be in time until pools have spare capacity."""
+"""Defer requests that would be late until pools have spare capacity."""
 
 import asyncio
 import math
@@ -8,7 +8,7 @@
 from ragworthollow.logs.events import log_event
 from ragworthollow.utils import get_monotonic_ms
 from ragworthollow_daemon.gateway.context import GatewayContext
-from ragworthollow_daemon.gateway.deferral_chance import DeferralChance
+from ragworthollow_daemon.gateway.deferral_chance import DeferralStartRate
 from ragworthollow_daemon.gateway.lateness import GetWaits
 from ragworthollow_daemon.gateway.request_job import RequestJob
 from ragworthollow_daemon.gateway.stage_way import StageWay
@@ -18,48 +18,51 @@
 
 
 @dataclass(frozen=True, kw_only=True, slots=True, eq=False)
-class _Deferred:
+class _DeferredRequest:
     """
-    Hold one request.
+    Hold a deferred request.
 
     Attributes
     ----------
     job : RequestJob
         The request.
-    way : StageWay
-        What its stages are expected to take.
-    latest_ms : float
-        Latest start that still serves its caller, on the monotonic clock.
-    turn : Future of bool
-        Whether it may begin.
+    estimate : StageWay
+        Estimates of the time that the request takes.
+    latest_start_ms : float
+        Latest start with which the response still begins before the caller
+        gives up, in milliseconds on the monotonic clock.
+    start_signal : Future of bool
+        Whether the request may start.
     """
 
     job: RequestJob
-    way: StageWay
-    latest_ms: float
-    turn: asyncio.Future[bool]
+    estimate: StageWay
+    latest_start_ms: float
+    start_signal: asyncio.Future[bool]
 
 
 class Deferral:
     """
-    Serve late what would be refused, in time that nobody else needs.
+    Queue requests that are served late, with otherwise unused capacity.
 
-    A burst lasts for seconds, and callers wait for three times their
-    objective or longer.  What the pools cannot do in time now they can often
-    do before its caller leaves.  Nothing is spent on a request while it is
-    deferred, and it ranks behind those that can be in time, so that it takes
-    little from them.  Where few of those before had their turn, the pools
-    are short for longer than that, and a request is refused at once.
+    Bursts last for seconds, while callers wait for three times their
+    objective or longer, so pools can often serve a request that would miss
+    its objective before its caller gives up.  No work is done for a deferred
+    request, and once started it ranks behind requests that can still meet
+    their objective, so it takes little capacity from them.  If few of the
+    recently deferred requests were started, the shortage lasts longer than
+    a burst, and further requests are refused immediately instead of deferred.
 
-    Of ten heavy days 385 requests were refused in the end against 634
-    without, and as many were in time.
+    Over ten days of heavy load, 385 requests were refused with deferral and
+    634 without it, while as many requests met their objective.
 
     Parameters
     ----------
     context : GatewayContext
-        Of this process.
+        Shared state of this process.
     get_waits_ms : callable
-        Tells the expected waits by pool for a priority.
+        Returns the expected waits in milliseconds by pool, given the pools
+        and a priority.
     """
 
     def __init__(
@@ -70,11 +73,11 @@
     ) -> None:
         self._context = context
         self._get_waits_ms = get_waits_ms
-        self._waiting: list[_Deferred] = []
-        self._begun_ms = float('-inf')
-        self._chance = DeferralChance()
+        self._queue: list[_DeferredRequest] = []
+        self._last_start_ms = float('-inf')
+        self._start_rate = DeferralStartRate()
 
-    async def wait(self, job: RequestJob, way: StageWay) -> bool:
+    async def wait(self, job: RequestJob, estimate: StageWay) -> bool:
         """
         Wait for spare capacity.
 
@@ -82,70 +85,82 @@
         ----------
         job : RequestJob
             The request.
-        way : StageWay
-            What its stages are expected to take.
+        estimate : StageWay
+            Estimates of the time that the request takes.
 
         Returns
         -------
         bool
-            Whether it may begin now; False when its caller would have left
-            before its answer.
+            Whether the request may start now; False if its caller would give
+            up before the response.
         """
         now_ms = get_monotonic_ms()
-        latest_ms = way.get_latest_start_ms()
-        if len(self._waiting) >= self._count_before(latest_ms, now_ms):
+        latest_start_ms = estimate.get_latest_start_ms()
+        if len(self._queue) >= self._count_expected_starts(
+            latest_start_ms, now_ms
+        ):
             return False
-        one = _Deferred(
+        deferred = _DeferredRequest(
             job=job,
-            way=way,
-            latest_ms=latest_ms,
-            turn=asyncio.get_running_loop().create_future(),
+            estimate=estimate,
+            latest_start_ms=latest_start_ms,
+            start_signal=asyncio.get_running_loop().create_future(),
         )
-        self._waiting.append(one)
+        self._queue.append(deferred)
         self._context.metrics.count_event('deferred')
         try:
-            may_begin = await one.turn
+            may_begin = await deferred.start_signal
         finally:
-            self._waiting.remove(one)
-        self._chance.note(get_monotonic_ms(), may_begin=may_begin)
-        self._log(one, now_ms, may_begin=may_begin)
+            self._queue.remove(deferred)
+        self._start_rate.record(get_monotonic_ms(), may_begin=may_begin)
+        self._log(deferred, now_ms, may_begin=may_begin)
         return may_begin
 
     def advance(self) -> None:
-        """Let requests begin that have capacity, refuse those too late."""
+        """Start a request if there is capacity; refuse expired requests."""
         now_ms = get_monotonic_ms()
-        for one in self._waiting:
-            if one.latest_ms <= now_ms:
-                _settle(one, may_begin=False)
-        # Hosts tell their waits once in a ping: a second request that begins
-        # before the next one would not see the first.
-        if now_ms - self._begun_ms < global_settings.HOST_PING_MS:
+        for deferred in self._queue:
+            if deferred.latest_start_ms <= now_ms:
+                _resolve(deferred, may_begin=False)
+        # Hosts report their waits once per ping.  If two requests started
+        # between two pings, the second would ignore the load of the first.
+        if now_ms - self._last_start_ms < global_settings.HOST_PING_MS:
             return
-        for one in sorted(self._waiting, key=_rank):
-            if not one.turn.done() and self._has_capacity(one, now_ms):
-                self._begun_ms = now_ms
-                _settle(one, may_begin=True)
+        for deferred in sorted(self._queue, key=_rank):
+            if not deferred.start_signal.done() and self._has_capacity(
+                deferred, now_ms
+            ):
+                self._last_start_ms = now_ms
+                _resolve(deferred, may_begin=True)
                 return
 
-    def _has_capacity(self, one: _Deferred, now_ms: float) -> bool:
-        """Tell whether the least urgent new request would be let in now."""
-        if not self._context.directory.get_pool(one.job.pool):
+    def _has_capacity(self, deferred: _DeferredRequest, now_ms: float) -> bool:
+        """Tell whether a new request of the lowest priority is admissible."""
+        if not self._context.directory.get_pool(deferred.job.pool):
             return False
-        pools = {stage.pool for stage in one.job.route.stages}
+        pools = {stage.pool for stage in deferred.job.route.stages}
         waits_ms = self._get_waits_ms(pools, _LEAST_URGENT)
-        late_ms = one.way.find_lateness_if_new_ms(waits_ms, now_ms)
-        margin_ms = one.job.route.objective_ms * global_settings.DEFERRAL_SPARE
+        late_ms = deferred.estimate.find_lateness_if_new_ms(waits_ms, now_ms)
+        margin_ms = (
+            deferred.job.route.objective_ms * global_settings.DEFERRAL_SPARE
+        )
         return late_ms <= -margin_ms
 
-    def _count_before(self, latest_ms: float, now_ms: float) -> int:
-        """Return how many are expected to begin before a moment."""
-        turns = (latest_ms - now_ms) / global_settings.HOST_PING_MS
-        return math.floor(turns * self._chance.get(now_ms))
+    def _count_expected_starts(
+        self,
+        latest_start_ms: float,
+        now_ms: float,
+    ) -> int:
+        """Return how many requests are expected to start before a time."""
+        opportunities = (
+            latest_start_ms - now_ms
+        ) / global_settings.HOST_PING_MS
+        return math.floor(opportunities * self._start_rate.get(now_ms))
 
     def _log(
         self,
-        one: _Deferred,
-        began_ms: float,
+        deferred: _DeferredRequest,
+        deferred_since_ms: float,
         *,
         may_begin: bool,
     ) -> None:
@@ -154,18 +169,18 @@
         log_event(
             'deferral_ended',
             step=_STEP,
-            request_id=one.job.terms.request_id,
-            route=one.job.route.name,
+            request_id=deferred.job.terms.request_id,
+            route=deferred.job.route.name,
             may_begin=may_begin,
-            deferred_ms=round(get_monotonic_ms() - began_ms),
-            waiting=len(self._waiting),
+            deferred_ms=round(get_monotonic_ms() - deferred_since_ms),
+            waiting=len(self._queue),
         )
 
 
-def _rank(one: _Deferred) -> tuple[int, float]:
-    return (one.job.get_priority(), one.latest_ms)
+def _rank(deferred: _DeferredRequest) -> tuple[int, float]:
+    return (deferred.job.get_priority(), deferred.latest_start_ms)
 
 
-def _settle(one: _Deferred, *, may_begin: bool) -> None:
-    if not one.turn.done():
-        one.turn.set_result(may_begin)
+def _resolve(deferred: _DeferredRequest, *, may_begin: bool) -> None:
+    if not deferred.start_signal.done():
+        deferred.start_signal.set_result(may_begin)
--- a/packages/ragworthollow-daemon/src/ragworthollow_daemon/gateway/lateness.py
+++ b/packages/ragworthollow-daemon/src/ragworthollow_daemon/gateway/lateness.py
@@ -1,4 +1,4 @@
-"""Refuse at once what would miss its objective on the whole way."""
+"""Refuse requests that are expected to miss their objective."""
 
 from collections.abc import Callable, Iterable, Mapping
 
@@ -15,30 +15,31 @@
 
 def refuse_late(
     job: RequestJob,
-    way: StageWay,
+    estimate: StageWay,
     get_waits_ms: GetWaits,
 ) -> UpstreamFailure | None:
     """
-    Judge a request before anything was spent on it.
+    Refuse a request that is expected to be late, before any work is done.
 
     Parameters
     ----------
     job : RequestJob
         The request.
-    way : StageWay
-        What its stages are expected to take.
+    estimate : StageWay
+        Estimates of the time that the request takes.
     get_waits_ms : callable
-        Tells the expected waits by pool for a priority.
+        Returns the expected waits in milliseconds by pool, given the pools
+        and a priority.
 
     Returns
     -------
     UpstreamFailure or None
-        None lets it in.
+        The refusal; None if the request is admitted.
     """
     pools = {stage.pool for stage in job.route.stages}
     waits_ms = get_waits_ms(pools, job.get_priority())
-    late_ms = way.find_lateness_ms(waits_ms)
-    allowed_ms = _get_allowed_ms(job)
+    late_ms = estimate.find_lateness_ms(waits_ms)
+    allowed_ms = _get_allowed_lateness_ms(job)
     if late_ms <= allowed_ms:
         return None
     return UpstreamFailure(
@@ -50,7 +51,7 @@
             f'expected {late_ms:.0f} ms late after {job.waited_ms:.0f} ms; '
             f'waits {waits_ms}'
         ),
-        # Until then the queue is worked off so far that it would be let in.
+        # By then the queue is short enough for the request to be admitted.
         retry_after_ms=max(
             global_settings.GATEWAY_RETRY_AFTER_MS,
             late_ms - allowed_ms,
@@ -58,15 +59,16 @@
     )
 
 
-def _get_allowed_ms(job: RequestJob) -> float:
+def _get_allowed_lateness_ms(job: RequestJob) -> float:
     """
-    Return the expected lateness up to which a request is taken.
+    Return the expected lateness up to which a request is admitted.
 
-    The throughput of a full pool is the same behind a short queue as behind
-    a long one, but behind one as long as the slack of its requests half of
-    them miss their objective by a little.  So a new request needs a margin.
-    A caller that was refused and came back goes before new ones while it can
-    be served in time, so that it is not sent away again and again.
+    The throughput of a saturated pool does not depend on the length of its
+    queue, but if the wait in the queue equals the slack of the requests, half
+    of them narrowly miss their objective.  New requests therefore need a
+    margin.  A caller that retries after a refusal takes precedence over
+    new ones while it can be served in time, so that it is not refused
+    repeatedly.
     """
     if job.waited_ms:
         return global_settings.ADMISSION_GRACE_MS
--- a/packages/ragworthollow-daemon/src/ragworthollow_daemon/gateway/refusals.py
+++ b/packages/ragworthollow-daemon/src/ragworthollow_daemon/gateway/refusals.py
@@ -1,4 +1,4 @@
-"""Answer requests that get no answer from an upstream."""
+"""Build responses for refused and failed requests."""
 
 import math
 import random
@@ -26,14 +26,14 @@
 
 class RefusalBody(Message):
     """
-    Tell a caller why there is no answer.
+    Describe a failure to a caller.
 
     Attributes
     ----------
     outcome : Outcome
         Whether the request may have run.
     reason : Reason
-        Why.
+        Cause of the failure.
     """
 
     outcome: Outcome
@@ -42,10 +42,10 @@
 
 def get_status(failure: UpstreamFailure) -> int:
     """
-    Return the status for a failure.
+    Return the HTTP status for a failure.
 
-    503 promises that the request has not run and never will; whatever may
-    have run is answered 502 or 504, which promise nothing.
+    503 guarantees that the request has not run and never will.  Requests
+    that may have run are answered with 502 or 504, which guarantee nothing.
     """
     status = _CALLER_STATUSES.get(failure.reason)
     if status is not None:
@@ -59,14 +59,15 @@
 
 def refuse(failure: UpstreamFailure, rng: random.Random) -> web.Response:
     """
-    Make the answer for a failure.
+    Build the response that reports a failure.
 
     Parameters
     ----------
     failure : UpstreamFailure
-        Why there is no other answer.
+        The failure to report.
     rng : Random
-        Spreads the time after which callers return.
+        Source of the jitter in ``Retry-After``, which keeps callers that
+        were refused together from retrying together.
     """
     status = get_status(failure)
     response = respond(
@@ -77,6 +78,6 @@
         wait_ms = failure.retry_after_ms
         if wait_ms is None or math.isinf(wait_ms):
             wait_ms = global_settings.GATEWAY_RETRY_AFTER_MS
-        spread = 1 + rng.random() * global_settings.RETRY_AFTER_SPREAD
-        response.headers['Retry-After'] = f'{wait_ms * spread / 1000:.3f}'
+        jitter = 1 + rng.random() * global_settings.RETRY_AFTER_SPREAD
+        response.headers['Retry-After'] = f'{wait_ms * jitter / 1000:.3f}'
     return response
