--- a/packages/ragworthollow-daemon/src/ragworthollow_daemon/gateway/__init__.py
+++ b/packages/ragworthollow-daemon/src/ragworthollow_daemon/gateway/__init__.py
@@ -1,1 +1,1 @@
-"""Pass callers' requests through to upstream pools, by route."""
+"""Forward callers' requests to upstream pools according to their routes."""
--- a/packages/ragworthollow-daemon/src/ragworthollow_daemon/gateway/configuration_follower.py
+++ b/packages/ragworthollow-daemon/src/ragworthollow_daemon/gateway/configuration_follower.py
@@ -1,4 +1,4 @@
-"""Keep the newest route table in force."""
+"""Keep the latest route table in effect."""
 
 from collections.abc import Mapping
 
@@ -17,42 +17,41 @@
 
 class ConfigurationFollower:
     """
-    Take the configuration from each read of the store, and never go back.
+    Apply the configuration from each read of the store, never an older one.
 
-    Watches may be silent while changes are made, and histories are dropped,
-    so that a watch alone proves nothing; a read that answers proves that
-    this version is the newest.
+    A watch alone does not prove that a version is the latest: it may miss
+    changes, and the store drops its history.  A successful read does.
 
     Parameters
     ----------
     context : GatewayContext
-        Of this process.
+        Shared state of this gateway.
     """
 
     def __init__(self, *, context: GatewayContext) -> None:
         self._context = context
-        self._taken = Stored()
+        self._last_stored = Stored()
 
     def take(self, found: Mapping[str, Stored], _asked_ms: float) -> None:
         """
-        Take what the store holds; a failure keeps the version in force.
+        Apply the stored configuration; keep the current one on failure.
 
         Parameters
         ----------
         found : mapping of str to Stored
-            All keys.
+            All entries of the store by key.
         """
         stored = found.get(CONFIGURATION_KEY)
         if stored is None:
             return
-        if not stored.is_same_write(self._taken):
-            self._taken = stored
-            self._take(stored)
+        if not stored.is_same_write(self._last_stored):
+            self._last_stored = stored
+            self._apply(stored)
 
     def note_lost(self, _detail: str) -> None:
-        """Keep the version in force."""
+        """Keep the current version while the store cannot be read."""
 
-    def _take(self, stored: Stored) -> None:
+    def _apply(self, stored: Stored) -> None:
         decoded = decode_configuration(stored.text.encode())
         if isinstance(decoded, Err):
             log_error(
--- a/packages/ragworthollow-daemon/src/ragworthollow_daemon/gateway/context.py
+++ b/packages/ragworthollow-daemon/src/ragworthollow_daemon/gateway/context.py
@@ -1,4 +1,4 @@
-"""Hold what the parts of a gateway share."""
+"""Hold the state that the components of a gateway share."""
 
 import asyncio
 import contextlib
@@ -28,29 +28,29 @@
 from ragworthollow_daemon.gateway.stop_state import StopState
 
 
-def _terminate() -> None:
+def _send_sigterm() -> None:
     signal.raise_signal(signal.SIGTERM)
 
 
 class GatewayContext:
     """
-    Own the sessions, the metrics and the state of one gateway.
+    Own the client sessions, the metrics and the shared state of a gateway.
 
-    To be made inside the running loop.
+    Must be created inside the running event loop.
 
     Parameters
     ----------
     settings : GatewaySettings
-        Checked settings.
+        Validated settings.
     ask_to_stop : callable
-        Has this process stop in the regular way.
+        Starts a graceful shutdown of this process.
     """
 
     def __init__(
         self,
         *,
         settings: GatewaySettings,
-        ask_to_stop: Callable[[], None] = _terminate,
+        ask_to_stop: Callable[[], None] = _send_sigterm,
     ) -> None:
         self._ask_to_stop = ask_to_stop
         self.settings = settings
@@ -89,21 +89,21 @@
 
     @property
     def members(self) -> int:
-        """Return the number of gateways, this one included."""
+        """Return the number of gateways, including this one."""
         return self._members
 
     @property
     def quarantine(self) -> Quarantine:
-        """Return what is known of requests that crash instances."""
+        """Return the quarantine of requests that crash instances."""
         return self._quarantine
 
     @property
     def throttle(self) -> Throttle:
-        """Return what bounds the requests to instances that take less."""
+        """Return the throttle for instances with reduced capacity."""
         return self._throttle
 
     def get_budget(self, pool: str) -> RetryBudget:
-        """Return this gateway's part of the retry budget of a pool."""
+        """Return this gateway's share of the retry budget of a pool."""
         budget = self._budgets.get(pool)
         if budget is None:
             budget = RetryBudget(
@@ -115,50 +115,51 @@
         return budget
 
     def get_answer_time(self, pool: str) -> AnswerTime:
-        """Return what is known of a pool's time to the first event."""
+        """Return the statistics of a pool's time to the first event."""
         return self._answer_times.setdefault(pool, AnswerTime())
 
     def suspect(self, instance: UpstreamInstance) -> None:
         """
-        Avoid an instance that failed, for a while.
+        Record a failure of an instance, so that it is avoided for a while.
 
-        An attempt may end long after its instance has started again under
-        its name, and says nothing of the incarnation that runs now.
+        An attempt may end long after its instance has been restarted under
+        the same name.  Its failure then says nothing about the incarnation
+        that is running now, and is ignored.
         """
         listed = self.directory.get(instance.instance)
         if listed is None or listed.is_same_incarnation(instance):
             self.book.note_failure(instance.instance, get_monotonic_ms())
 
     def put_table(self, table: RouteTable) -> None:
-        """Put a table in force."""
+        """Put a route table into effect."""
         self.table = table
         self._table_came.set()
         if not self._quarantine.has_asked:
-            # The hosts to be asked are known from now on.
+            # The peers to exchange quarantine data with are now known.
             self._quarantine.has_urgent_news.set()
 
     async def wait_table(self, timeout_ms: float) -> None:
-        """Wait until a first table is in force, or for so long."""
+        """Wait for the first route table, at most `timeout_ms`."""
         with contextlib.suppress(TimeoutError):
             async with asyncio.timeout(timeout_ms / 1000):
                 await self._table_came.wait()
 
     def can_host(self) -> bool:
-        """Tell whether pools and their instances are known here."""
+        """Return whether pools and their instances are known."""
         return self.table is not None and self.directory.is_known()
 
     def get_limits(self) -> RequestLimits:
-        """Return what callers may send by the configuration in force."""
+        """Return the request limits of the current configuration."""
         return RequestLimits() if self.table is None else self.table.limits
 
     def set_members(self, names: Collection[str], now_ms: float) -> None:
         """
-        Take the gateways that share budgets with this one.
+        Set the gateways among which budgets are divided.
 
         Parameters
         ----------
         names : collection of str
-            Members; this gateway among them if it is listed.
+            Names of the members, including this gateway if it is listed.
         now_ms : float
             Time on the monotonic clock.
         """
@@ -174,24 +175,24 @@
         self,
         coroutine: Coroutine[None, None, None],
     ) -> asyncio.Task[None]:
-        """Run a task of this process until it ends or the process closes."""
+        """Run a task in the background; it is cancelled by `close`."""
         task = asyncio.ensure_future(coroutine)
         self._tasks.add(task)
-        task.add_done_callback(self._end_task)
+        task.add_done_callback(self._handle_task_end)
         return task
 
     def spawn_loop(self, coroutine: Coroutine[None, None, None]) -> None:
         """
-        Run a loop that this process cannot do without.
+        Run a loop without which this process must not go on.
 
-        A gateway whose loop has ended by an error goes on serving what it
-        knew then, keys that were taken away included.  So it stops, and is
-        started again.
+        A gateway whose loop has failed would keep serving from stale state,
+        accepting keys that have been revoked since.  It shuts down instead,
+        and is restarted.
         """
-        self.spawn(coroutine).add_done_callback(self._end_loop)
+        self.spawn(coroutine).add_done_callback(self._handle_loop_end)
 
     async def close(self) -> None:
-        """End the loops and the sessions."""
+        """Cancel all background tasks and close the sessions."""
         for task in tuple(self._tasks):
             task.cancel()
         await asyncio.gather(*self._tasks, return_exceptions=True)
@@ -199,17 +200,17 @@
         await self.upstream_session.close()
 
     def _get_burst(self, pool: str) -> float:
-        used = self.settings.retry_slack * global_settings.RETRY_BUDGET_USE
-        described = None if self.table is None else self.table.pools.get(pool)
-        if described is not None and described.pieces is not None:
-            return max(1, used * global_settings.HOST_RETRY_SHARE)
-        return max(1, used / max(self._members, 4))
+        slack = self.settings.retry_slack * global_settings.RETRY_BUDGET_USE
+        pool_config = None if self.table is None else self.table.pools.get(pool)
+        if pool_config is not None and pool_config.pieces is not None:
+            return max(1, slack * global_settings.HOST_RETRY_SHARE)
+        return max(1, slack / max(self._members, 4))
 
-    def _end_loop(self, task: asyncio.Task[None]) -> None:
+    def _handle_loop_end(self, task: asyncio.Task[None]) -> None:
         if not task.cancelled() and task.exception() is not None:
             self._ask_to_stop()
 
-    def _end_task(self, task: asyncio.Task[None]) -> None:
+    def _handle_task_end(self, task: asyncio.Task[None]) -> None:
         self._tasks.discard(task)
         if task.cancelled():
             return
--- a/packages/ragworthollow-daemon/src/ragworthollow_daemon/gateway/following.py
+++ b/packages/ragworthollow-daemon/src/ragworthollow_daemon/gateway/following.py
@@ -1,4 +1,4 @@
-"""Assemble what keeps a gateway's copy of the store young."""
+"""Create the components that keep a gateway's replica of the store fresh."""
 
 from collections.abc import Sequence
 
@@ -19,16 +19,16 @@
     followers: Sequence[Follower],
 ) -> StoreFollower:
     """
-    Make the follower of a gateway, with paces from its bounds.
+    Create the store follower with polling intervals from the settings.
 
     Parameters
     ----------
     context : GatewayContext
-        Of this process.
+        Shared state of this gateway.
     members : GatewayMembers
-        The other gateways.
+        Gateways of the cluster.
     followers : sequence of Follower
-        In the order in which they are told.
+        Followers, in the order in which they are notified.
     """
     settings = context.settings
     peers = NewsClient(context=context, members=members)
@@ -54,18 +54,18 @@
     follower: StoreFollower,
 ) -> HostPings:
     """
-    Make what asks hosts, and takes what they tell of the store.
+    Create the component that pings hosts and applies their store updates.
 
     Parameters
     ----------
     context : GatewayContext
-        Of this process.
+        Shared state of this gateway.
     members : GatewayMembers
-        The other gateways.
+        Gateways of the cluster.
     announced : AnnouncedWork
-        Work that hosts are told of.
+        Work that is announced to hosts.
     follower : StoreFollower
-        Keeps the copy of the store.
+        Applies the updates to the replica of the store.
     """
     return HostPings(
         context=context,
--- a/packages/ragworthollow-daemon/src/ragworthollow_daemon/gateway/heard_news.py
+++ b/packages/ragworthollow-daemon/src/ragworthollow_daemon/gateway/heard_news.py
@@ -1,4 +1,4 @@
-"""Define what another gateway said of the store."""
+"""Define an update of the store as received from a peer gateway."""
 
 from dataclasses import dataclass
 
@@ -8,14 +8,14 @@
 @dataclass(frozen=True, kw_only=True, slots=True)
 class HeardNews:
     """
-    Hold news and when it was asked for.
+    Hold an update and the time at which it was requested.
 
     Attributes
     ----------
     news : StoreNews
-        What was said.
+        The update.
     asked_ms : float
-        When it was asked for, on the clock that counts suspended time.
+        When it was requested, on the clock that counts suspended time.
     """
 
     news: StoreNews
--- a/packages/ragworthollow-daemon/src/ragworthollow_daemon/gateway/instances_follower.py
+++ b/packages/ragworthollow-daemon/src/ragworthollow_daemon/gateway/instances_follower.py
@@ -1,4 +1,4 @@
-"""Keep the list of upstream instances in force."""
+"""Keep the list of upstream instances up to date."""
 
 import dataclasses
 from collections.abc import (
@@ -25,16 +25,16 @@
 
 class InstancesFollower:
     """
-    Take the whole list from each read of the store.
+    Replace the list of instances after each read of the store.
 
     Parameters
     ----------
     context : GatewayContext
-        Of this process.
+        Shared state of this gateway.
     on_change : callable
-        Called after instances appeared, left or started again.
+        Called after instances have appeared, left or restarted.
     on_restart : callable
-        Called with the name of each instance that started again under it.
+        Called with the name of each instance that has restarted.
     """
 
     def __init__(
@@ -51,14 +51,15 @@
 
     def take(self, found: Mapping[str, Stored], asked_ms: float) -> None:
         """
-        Take what the store holds.
+        Apply the entries of all instances and the drained domains.
 
         Parameters
         ----------
         found : mapping of str to Stored
-            All keys.
+            All entries of the store by key.
         asked_ms : float
-            When they were asked for, on the monotonic clock.
+            Time as of which they are known to be up to date, on the monotonic
+            clock.
         """
         entries = {
             key: stored
@@ -69,7 +70,7 @@
         self.take_instances(self._decode(entries), asked_ms, drained)
 
     def note_lost(self, _detail: str) -> None:
-        """Note that the store could not be read; the list is kept."""
+        """Record that the store could not be read, and keep the list."""
         self._context.directory.note_outage()
         self._context.metrics.count_event('instance_list_unavailable')
 
@@ -80,24 +81,25 @@
         drained: Iterable[str] = (),
     ) -> None:
         """
-        Take all instances that are listed, and forget what is gone.
+        Replace the listed instances, and discard the state of removed ones.
 
         Parameters
         ----------
         listed : sequence of UpstreamInstance
-            Leaving ones included.
+            All listed instances, including those that are leaving.
         asked_ms : float
-            When they were asked for, on the monotonic clock.
+            Time as of which they are known to be up to date, on the monotonic
+            clock.
         drained : iterable of str
-            Failure domains that are drained, as of the same moment.
+            Failure domains that are drained as of the same time.
         """
         directory = self._context.directory
-        earlier = frozenset(directory.drains.get_since_ms())
+        previously_drained = frozenset(directory.drains.get_since_ms())
         change = directory.replace(listed, asked_ms, drained)
-        self._log_drains(earlier, listed)
+        self._log_drains(previously_drained, listed)
         self._begin_warm_ups(
             change.appeared,
-            earlier - directory.drains.get_since_ms().keys(),
+            previously_drained - directory.drains.get_since_ms().keys(),
         )
         if not change:
             return
@@ -123,11 +125,11 @@
         restored: Collection[str],
     ) -> None:
         """
-        Take it that instances of a restored domain have to warm up.
+        Treat the instances of a restored domain as warming up.
 
-        They may have become cold while nothing was sent to them, and their
-        entries tell it up to a heartbeat later: all gateways would turn to the
-        least loaded instances of all at the same moment.
+        They may have gone cold while they got no requests, and their entries
+        report that up to a heartbeat later.  Until then all gateways would
+        prefer them at the same time, since they have the least load.
         """
         table = self._context.table
         if not restored or table is None:
@@ -146,47 +148,49 @@
 
     def _log_drains(
         self,
-        earlier: frozenset[str],
+        previously_drained: frozenset[str],
         listed: Sequence[UpstreamInstance],
     ) -> None:
-        """Log which failure domains are drained now, and which no longer."""
-        current = self._context.directory.drains.get_since_ms().keys()
-        for domain in earlier ^ current:
+        """Log the failure domains that were drained or restored."""
+        drained = self._context.directory.drains.get_since_ms().keys()
+        for domain in previously_drained ^ drained:
             log_event(
-                'domain_drained' if domain in current else 'domain_restored',
+                'domain_drained' if domain in drained else 'domain_restored',
                 step=_STEP,
                 peer=domain,
-                instances=sum(one.failure_domain == domain for one in listed),
+                instances=sum(
+                    instance.failure_domain == domain for instance in listed
+                ),
             )
 
-    def _place(
+    def _add_region(
         self,
         instance: UpstreamInstance | None,
     ) -> UpstreamInstance | None:
-        """Add the region, which entries do not say."""
+        """Add the region, which is not part of the stored entry."""
         if instance is None:
             return None
         settings = self._context.settings
         region = settings.get_region(instance.failure_domain)
         return dataclasses.replace(instance, region=region)
 
-    def _note_warm_up(self, instance: UpstreamInstance | None) -> None:
+    def _record_warm_up(self, instance: UpstreamInstance | None) -> None:
         if instance is not None:
             self._context.throttle.warm_ups.note_entry(
                 instance.get_incarnation(),
                 get_monotonic_ms() + instance.warm_up_left_ms,
             )
 
-    def _decode(self, found: dict[str, Stored]) -> list[UpstreamInstance]:
-        """Decode entries, each again only after it has changed."""
+    def _decode(self, entries: dict[str, Stored]) -> list[UpstreamInstance]:
+        """Decode entries, reusing earlier results for unchanged ones."""
         decoded = {}
-        for key, stored in found.items():
-            earlier, instance = self._decoded.get(key, (Stored(), None))
-            if not stored.is_same_write(earlier):
-                instance = self._place(
+        for key, stored in entries.items():
+            previous, instance = self._decoded.get(key, (Stored(), None))
+            if not stored.is_same_write(previous):
+                instance = self._add_region(
                     decode_instance(key, stored.text.encode()),
                 )
-                self._note_warm_up(instance)
+                self._record_warm_up(instance)
             decoded[key] = (stored, instance)
         self._decoded = decoded
         return [
--- a/packages/ragworthollow-daemon/src/ragworthollow_daemon/gateway/instances_view.py
+++ b/packages/ragworthollow-daemon/src/ragworthollow_daemon/gateway/instances_view.py
@@ -1,4 +1,4 @@
-"""Describe to operators where this gateway sends less, and why."""
+"""Report to operators which instances this gateway throttles, and why."""
 
 from collections.abc import Iterator
 
@@ -23,7 +23,7 @@
     Parameters
     ----------
     context : GatewayContext
-        Of this process.
+        Shared state of this gateway.
     """
     now_ms = get_monotonic_ms()
     drained = context.directory.drains.get_since_ms()
@@ -47,17 +47,17 @@
     pools = {} if context.table is None else context.table.pools
     for pool in pools:
         throttle = PoolThrottle(context=context, pool=pool)
-        for one in context.directory.get_pool(pool):
+        for instance in context.directory.get_pool(pool):
             left_ms = context.throttle.warm_ups.get_left_ms(
-                one.get_incarnation(),
+                instance.get_incarnation(),
                 now_ms,
             )
             if left_ms:
                 yield WarmingInstance(
-                    instance=one.instance,
+                    instance=instance.instance,
                     pool=pool,
                     left_ms=left_ms,
-                    is_sender=throttle.get_wait_ms(one) < left_ms,
+                    is_sender=throttle.get_wait_ms(instance) < left_ms,
                     burst=throttle.get_warm_up_burst(),
                 )
 
@@ -68,14 +68,14 @@
     pools = {} if context.table is None else context.table.pools
     for pool in pools:
         throttle = PoolThrottle(context=context, pool=pool)
-        for one in context.directory.get_pool(pool):
-            named = limits.find(one.get_incarnation(), now_ms)
-            if named is not None:
-                left_ms = limits.get_left_ms(named, now_ms)
+        for instance in context.directory.get_pool(pool):
+            limit = limits.find(instance.get_incarnation(), now_ms)
+            if limit is not None:
+                left_ms = limits.get_left_ms(limit, now_ms)
                 yield LimitedInstance(
-                    instance=one.instance,
+                    instance=instance.instance,
                     pool=pool,
-                    requests_per_s=named.requests_per_s,
-                    named_age_ms=now_ms - named.heard_ms,
-                    is_sender=throttle.get_wait_ms(one) < left_ms,
+                    requests_per_s=limit.requests_per_s,
+                    named_age_ms=now_ms - limit.heard_ms,
+                    is_sender=throttle.get_wait_ms(instance) < left_ms,
                 )
--- a/packages/ragworthollow-daemon/src/ragworthollow_daemon/gateway/launch.py
+++ b/packages/ragworthollow-daemon/src/ragworthollow_daemon/gateway/launch.py
@@ -1,4 +1,4 @@
-"""Run a gateway from its settings, with as few imports as it needs."""
+"""Run a gateway from its settings, importing as little as possible."""
 
 import sys
 from pathlib import Path
@@ -17,12 +17,12 @@
 
 def run_gateway(settings: GatewaySettings) -> None:
     """
-    Run until TERM, which stops gracefully.
+    Run until SIGTERM, which triggers a graceful shutdown.
 
     Parameters
     ----------
     settings : GatewaySettings
-        Checked settings.
+        Validated settings.
     """
     set_up_logging(instance=settings.instance)
     run_service(GatewayService(settings=settings))
@@ -30,12 +30,12 @@
 
 def run_from_file(path: Path) -> None:
     """
-    Load the settings of a gateway and run it; exit with 2 if they are bad.
+    Load the settings and run a gateway; exit with 2 if they are invalid.
 
     Parameters
     ----------
     path : Path
-        The YAML file.
+        Path of the YAML settings file.
     """
     loaded = load_settings(path)
     if isinstance(loaded, Err):
--- a/packages/ragworthollow-daemon/src/ragworthollow_daemon/gateway/membership.py
+++ b/packages/ragworthollow-daemon/src/ragworthollow_daemon/gateway/membership.py
@@ -1,4 +1,4 @@
-"""Register this gateway and follow the others."""
+"""Register this gateway in the store and track the other gateways."""
 
 import asyncio
 import contextlib
@@ -24,17 +24,17 @@
 
 class Membership:
     """
-    Keep a leased entry in the store.
+    Maintain this gateway's leased entry in the store.
 
-    The entry says where this gateway can be reached; its lease ends by
-    itself when the process does.
+    The entry holds the address at which peers reach this gateway.  Its lease
+    expires if the process dies.
 
     Parameters
     ----------
     context : GatewayContext
-        Of this process.
+        Shared state of this gateway.
     members : GatewayMembers
-        Where the others are kept.
+        Members of the cluster, updated from the store.
     """
 
     def __init__(
@@ -46,41 +46,42 @@
         self._context = context
         self._members = members
         self._lease = 0
-        self._is_listed = False
+        self._has_member_list = False
         self._is_leaving = False
         self._timeline = 0
-        self._is_restored = asyncio.Event()
+        self._store_restored = asyncio.Event()
 
     async def run(self) -> None:
-        """Register and follow until cancelled."""
+        """Register this gateway and renew its entry until cancelled."""
         announced_lease = 0
         while True:
-            is_restored = self._is_restored.is_set()
-            self._is_restored.clear()
-            is_kept = await self._keep_entry()
-            if is_kept and is_restored:
-                # The store may have kept the lease and lost the entry.
-                is_kept = await self._write_entry(self._lease)
-            # Those to be told are known from the first read of the store.
-            if self._is_listed and self._lease != announced_lease:
+            was_restored = self._store_restored.is_set()
+            self._store_restored.clear()
+            is_registered = await self._ensure_entry()
+            if is_registered and was_restored:
+                # A restored store may have the lease but not the entry.
+                is_registered = await self._write_entry(self._lease)
+            # The peers to notify are known after the first read of the store.
+            if self._has_member_list and self._lease != announced_lease:
                 announced_lease = self._lease
                 await self._announce()
             pause_ms = (
                 global_settings.MEMBER_RENEWAL_MS
-                if is_kept and self._is_listed
+                if is_registered and self._has_member_list
                 else global_settings.MEMBER_RETRY_MS
             )
             with contextlib.suppress(TimeoutError):
                 async with asyncio.timeout(pause_ms / 1000):
-                    await self._is_restored.wait()
+                    await self._store_restored.wait()
 
     async def leave(self) -> None:
         """
-        Tell the others that this process hosts no gate any more.
+        Announce that this process no longer hosts gates.
 
-        Its entry stays while it serves: a gateway that starts meanwhile
-        learns of it and tells it of itself.  Without, several processes that
-        stop one after the other know of no host and each hosts every gate.
+        The entry stays while the process serves, so that a gateway that
+        starts in the meantime learns about it and announces itself to it.
+        Otherwise several processes that stop one after the other would know
+        of no other host, and each would host every gate.
         """
         self._is_leaving = True
         self._members.leave()
@@ -89,7 +90,7 @@
             await self._write_entry(self._lease)
 
     async def end(self) -> None:
-        """Give the entry up."""
+        """Revoke the lease, which removes the entry from the store."""
         if not self._lease:
             return
         try:
@@ -100,12 +101,12 @@
         except TimeoutError:
             log_event('entry_left', step=_STEP, lease=self._lease)
 
-    async def _keep_entry(self) -> bool:
-        """Renew or write the entry, and tell whether that has worked."""
+    async def _ensure_entry(self) -> bool:
+        """Renew or write the entry, and return whether that succeeded."""
         if self._lease:
             renewed = await self._context.store.renew_lease(self._lease)
-            # A renewal without an answer may have worked; only a plain no
-            # calls for a new lease.
+            # A renewal without a response may have succeeded; only an explicit
+            # refusal requires a new lease.
             if isinstance(renewed, Err) or renewed.ok_value:
                 return not isinstance(renewed, Err)
             log_event('lease_lapsed', step=_STEP, lease=self._lease)
@@ -150,44 +151,44 @@
         )
 
     async def _announce(self) -> None:
-        """Tell every other member at once that this one joins or leaves."""
+        """Notify all other members directly that this one joins or leaves."""
         member = self._make_member()
         change = MemberChange(member=member)
-        others = [
-            one
-            for one in self._members.get_members().values()
-            if one.instance != member.instance
+        peers = [
+            peer
+            for peer in self._members.get_members().values()
+            if peer.instance != member.instance
         ]
         body = msgspec.json.encode(change)
-        # One that does not hear it learns of the change from the store.
+        # A peer that misses the notification learns of it from the store.
         await asyncio.gather(
             *(
-                tell_peer(self._context, one, CHANGE_PATH, body)
-                for one in others
+                tell_peer(self._context, peer, CHANGE_PATH, body)
+                for peer in peers
             ),
         )
 
     def take(self, found: Mapping[str, Stored], proved_ms: float) -> None:
-        """Take the members, known to be the newest as of `proved_ms`."""
+        """Apply the list of members, known to be current at `proved_ms`."""
         timeline = self._context.replica.view.timeline
         if timeline != self._timeline:
             self._timeline = timeline
-            self._is_restored.set()
-        earlier = self._members.get_members().keys()
+            self._store_restored.set()
+        previous = self._members.get_members().keys()
         self._members.replace(_decode(found), proved_ms)
-        self._is_listed = True
-        present = self._members.get_members().keys()
-        self._context.set_members(present, get_monotonic_ms())
-        if earlier != present:
+        self._has_member_list = True
+        current = self._members.get_members().keys()
+        self._context.set_members(current, get_monotonic_ms())
+        if previous != current:
             log_event(
                 'members_changed',
                 step=_STEP,
-                appeared=sorted(present - earlier),
-                left=sorted(earlier - present),
+                appeared=sorted(current - previous),
+                left=sorted(previous - current),
             )
 
     def note_lost(self, _detail: str) -> None:
-        """Note that the store could not be read; the members are kept."""
+        """Record that the store could not be read, and keep the members."""
         self._context.metrics.count_event('member_list_unavailable')
 
 
--- a/packages/ragworthollow-daemon/src/ragworthollow_daemon/gateway/news_client.py
+++ b/packages/ragworthollow-daemon/src/ragworthollow_daemon/gateway/news_client.py
@@ -1,4 +1,4 @@
-"""Ask other gateways what the store holds."""
+"""Request updates of the store from peer gateways."""
 
 import asyncio
 from collections.abc import Sequence
@@ -24,17 +24,17 @@
 
 class NewsClient:
     """
-    Ask a few other gateways when the store does not answer.
+    Request updates from a few peers while the store does not answer.
 
-    Which ones is left to chance: those that answer pings may be the ones that
-    the store turns away.
+    The peers are chosen at random, since the hosts that answer this gateway's
+    pings may be those whose requests the store refuses.
 
     Parameters
     ----------
     context : GatewayContext
-        Of this process.
+        Shared state of this gateway.
     members : GatewayMembers
-        The other gateways.
+        Gateways of the cluster.
     """
 
     def __init__(
@@ -48,34 +48,38 @@
 
     async def ask(self, after: StorePosition) -> Sequence[HeardNews]:
         """
-        Ask for everything after a position.
+        Request all changes after a position.
 
         Parameters
         ----------
         after : StorePosition
-            Up to which everything is known here.
+            Position up to which this gateway knows all changes.
         """
-        question = NewsQuestion(
+        request = NewsQuestion(
             after_revision=after.revision,
             timeline=after.timeline,
         )
-        body = msgspec.json.encode(question)
-        answers = await asyncio.gather(
-            *(self._ask(peer, body) for peer in self._choose()),
+        body = msgspec.json.encode(request)
+        updates = await asyncio.gather(
+            *(self._fetch(peer, body) for peer in self._choose_peers()),
         )
-        return [one for one in answers if one is not None]
+        return [update for update in updates if update is not None]
 
-    def _choose(self) -> list[GatewayMember]:
-        others = [
-            one
-            for one in self._members.get_members().values()
-            if one.instance != self._context.settings.instance
-            and not self._members.is_silent(one.instance)
+    def _choose_peers(self) -> list[GatewayMember]:
+        peers = [
+            member
+            for member in self._members.get_members().values()
+            if member.instance != self._context.settings.instance
+            and not self._members.is_silent(member.instance)
         ]
-        count = min(len(others), global_settings.NEWS_PEERS_ASKED)
-        return self._context.rng.sample(others, count)
+        count = min(len(peers), global_settings.NEWS_PEERS_ASKED)
+        return self._context.rng.sample(peers, count)
 
-    async def _ask(self, peer: GatewayMember, body: bytes) -> HeardNews | None:
+    async def _fetch(
+        self,
+        peer: GatewayMember,
+        body: bytes,
+    ) -> HeardNews | None:
         asked_ms = get_boottime_ms()
         try:
             async with self._context.session.post(
--- a/packages/ragworthollow-daemon/src/ragworthollow_daemon/gateway/peer_notes.py
+++ b/packages/ragworthollow-daemon/src/ragworthollow_daemon/gateway/peer_notes.py
@@ -1,4 +1,4 @@
-"""Tell other gateways what they need not answer."""
+"""Send one-way notifications to peer gateways."""
 
 import aiohttp
 
@@ -16,23 +16,24 @@
     body: bytes,
 ) -> bool:
     """
-    Send a note to another gateway.
+    Send a notification to a peer gateway.
 
     Parameters
     ----------
     context : GatewayContext
-        Of this process.
+        Shared state of this gateway.
     peer : GatewayMember
-        Who is told.
+        The receiver.
     path : str
-        What the note is about.
+        HTTP path of the notification.
     body : bytes
         The encoded message.
 
     Returns
     -------
     bool
-        False when it may not have arrived, which is logged and counted.
+        False if the notification may not have arrived, which is logged and
+        counted.
     """
     try:
         async with context.session.post(
--- a/packages/ragworthollow-daemon/src/ragworthollow_daemon/gateway/peer_routes.py
+++ b/packages/ragworthollow-daemon/src/ragworthollow_daemon/gateway/peer_routes.py
@@ -1,4 +1,4 @@
-"""Serve other gateways."""
+"""Serve the HTTP endpoints for peer gateways."""
 
 import msgspec
 from aiohttp import web
@@ -51,18 +51,18 @@
 
 class PeerRoutes:
     """
-    Let other gateways use the gates hosted here.
+    Handle the requests of peer gateways.
 
     Parameters
     ----------
     context : GatewayContext
-        Of this process.
+        Shared state of this gateway.
     members : GatewayMembers
-        The other gateways.
+        Gateways of the cluster.
     service : PieceService
-        The gates.
+        Runs pieces in the gates that this gateway hosts.
     handover : GateHandover
-        Takes gates over.
+        Accepts gates from their previous hosts.
     """
 
     def __init__(
@@ -79,7 +79,7 @@
         self._service = service
 
     def make_application(self) -> web.Application:
-        """Make the application for the peer address."""
+        """Create the web application for the peer address."""
         application = web.Application(
             client_max_size=global_settings.MAX_BODY_BYTES,
         )
@@ -92,7 +92,7 @@
         return application
 
     async def answer_ping(self, request: web.Request) -> web.Response:
-        """Say who is alive here, and take what work will come."""
+        """Report the state of this gateway, and store that of the sender."""
         body = await request.read()
         try:
             ping = msgspec.json.decode(body, type=GatewayPing)
@@ -134,7 +134,7 @@
         )
 
     async def tell_news(self, request: web.Request) -> web.Response:
-        """Tell a gateway that cannot read the store what it holds."""
+        """Send an update of the store to a gateway that cannot read it."""
         body = await request.read()
         try:
             question = msgspec.json.decode(body, type=NewsQuestion)
@@ -150,7 +150,7 @@
         return web.Response(body=encode_news(news))
 
     async def learn_change(self, request: web.Request) -> web.Response:
-        """Take what another gateway says of itself."""
+        """Apply a gateway's announcement that it joins or leaves."""
         body = await request.read()
         try:
             change = msgspec.json.decode(body, type=MemberChange)
@@ -168,7 +168,7 @@
         return web.Response()
 
     async def run_pieces(self, request: web.Request) -> web.Response:
-        """Have pieces done; an asker who leaves takes them back."""
+        """Run pieces; they are cancelled if the requester disconnects."""
         body = await request.read()
         try:
             order = msgspec.json.decode(body, type=PiecesOrder)
@@ -177,18 +177,18 @@
         now_ms = get_monotonic_ms()
         self._service.askers.meet(order.asker, now_ms)
         pieces = decode_pieces(order, now_ms)
-        # A host that stops sees the pieces of others to their end.
+        # A stopping host still finishes the pieces of its peers.
         with self._context.drain.serving():
             found = await self._service.run(order.pool, pieces)
         return respond(encode_results(found))
 
     async def free_results(self, request: web.Request) -> web.Response:
         """
-        Give results up, through the gate that counts their space.
+        Release results through the gate that accounts for their space.
 
-        Whoever asks may not know yet that another gateway hosts the gate: the
-        account of its results has gone there, and would count them as taking
-        space until they expire.
+        The sender may not know yet that another gateway now hosts the gate.
+        The accounting has moved to that gateway, which would count the results
+        as occupying space until they expire.
         """
         body = await request.read()
         try:
@@ -212,7 +212,7 @@
             self._service.free(release.pool, release.handles)
 
     async def take_gate(self, request: web.Request) -> web.Response:
-        """Take what another gateway has in hand."""
+        """Take over a gate's state from its previous host."""
         body = await request.read()
         try:
             transfer = msgspec.json.decode(body, type=GateTransfer)
--- a/packages/ragworthollow-daemon/src/ragworthollow_daemon/gateway/poll_pace.py
+++ b/packages/ragworthollow-daemon/src/ragworthollow_daemon/gateway/poll_pace.py
@@ -1,24 +1,25 @@
-"""Decide when the store is asked again."""
+"""Compute the delay before a failed read of the store is retried."""
 
 from ragworthollow.conf import global_settings
 
-_DOUBLINGS = 8
+_MAX_DOUBLINGS = 8
 
 
-def get_retry_ms(failures: int, longest_ms: float) -> float:
+def get_retry_ms(failures: int, max_ms: float) -> float:
     """
-    Return the pause before the next try of a call that has failed.
+    Return the delay before a failed call is retried, in milliseconds.
 
-    The first failure is followed by another try at once, since a call that
-    was lost right before a change would delay that change by a whole
-    interval; further ones back off, since refused calls are counted too.
+    After the first failure the call is retried almost at once, since a call
+    that fails right before a change would delay that change by a whole
+    polling interval.  Further failures back off exponentially, since refused
+    calls are also counted as calls to the store.
 
     Parameters
     ----------
     failures : int
-        Tries that have failed in a row, one at least.
-    longest_ms : float
-        Longest pause: the end of an outage has to be noticed in time.
+        Number of consecutive failures, at least one.
+    max_ms : float
+        Maximum delay, which limits how late the end of an outage is noticed.
     """
-    doublings = min(failures - 1, _DOUBLINGS)
-    return min(longest_ms, global_settings.STORE_RETRY_MS * 2**doublings)
+    doublings = min(failures - 1, _MAX_DOUBLINGS)
+    return min(max_ms, global_settings.STORE_RETRY_MS * 2**doublings)
--- a/packages/ragworthollow-daemon/src/ragworthollow_daemon/gateway/readiness.py
+++ b/packages/ragworthollow-daemon/src/ragworthollow_daemon/gateway/readiness.py
@@ -1,4 +1,4 @@
-"""Answer the balancer's readiness checks."""
+"""Answer the load balancer's readiness checks."""
 
 from aiohttp import web
 
@@ -11,25 +11,25 @@
 
 class Readiness:
     """
-    Tell whether new connections are welcome.
+    Report whether this gateway accepts new connections.
 
     Parameters
     ----------
     context : GatewayContext
-        Of this process.
+        Shared state of this gateway.
     """
 
     def __init__(self, *, context: GatewayContext) -> None:
         self._context = context
 
     def is_ready(self) -> bool:
-        """Tell whether a request could be served now."""
+        """Return whether requests can be served now."""
         context = self._context
-        is_informed = context.table is not None and context.quarantine.has_asked
-        return is_informed and not context.drain.is_draining
+        has_state = context.table is not None and context.quarantine.has_asked
+        return has_state and not context.drain.is_draining
 
     async def handle(self, request: web.BaseRequest) -> web.StreamResponse:
-        """Answer one check."""
+        """Answer one readiness check."""
         if request.path != READY_PATH:
             return web.Response(status=_NOT_FOUND)
         if self.is_ready():
--- a/packages/ragworthollow-daemon/src/ragworthollow_daemon/gateway/role.py
+++ b/packages/ragworthollow-daemon/src/ragworthollow_daemon/gateway/role.py
@@ -1,4 +1,4 @@
-"""Assemble a gateway."""
+"""Assemble the components of a gateway and run them."""
 
 import asyncio
 
@@ -30,7 +30,7 @@
 from ragworthollow_daemon.gateway.readiness import Readiness
 from ragworthollow_daemon.gateway.status_routes import StatusRoutes
 
-# The drain has waited for requests already; this closes what is idle.
+# The drain has already waited for requests; only idle connections remain.
 _SHUTDOWN_S = 0.1
 
 
@@ -41,7 +41,7 @@
     Parameters
     ----------
     settings : GatewaySettings
-        Checked settings.
+        Validated settings.
     """
 
     def __init__(self, *, settings: GatewaySettings) -> None:
@@ -90,7 +90,7 @@
         self._runners: list[web.BaseRunner] = []
 
     async def start(self) -> None:
-        """Listen, then learn what is needed."""
+        """Start the listeners, then the background loops."""
         readiness = Readiness(context=self.context)
         front = Front(
             context=self.context,
@@ -136,7 +136,7 @@
         self.context.spawn_loop(self._records.run())
 
     def begin_stop(self) -> None:
-        """Turn readiness off, and refuse what cannot be finished here."""
+        """Report as not ready, and refuse requests that cannot finish."""
         self.context.drain.is_draining = True
         self.context.stop.begin(
             get_boottime_ms(),
@@ -145,11 +145,11 @@
 
     async def stop(self) -> None:
         """
-        Serve on until the balancer has moved away and nothing is served.
+        Keep serving until the load balancer has moved away, then drain.
 
-        The balancer asks once a second and needs two negative answers, so
-        that new connections keep coming for a while; they are served like
-        any other, and each answer closes its connection.
+        The load balancer checks readiness once a second and needs two negative
+        responses, so new connections keep arriving for a while.  They are
+        served like any other, and each response closes its connection.
         """
         started_ms = get_monotonic_ms()
         await self.membership.leave()
@@ -170,7 +170,7 @@
         )
 
     async def close(self) -> None:
-        """Stop listening and end everything."""
+        """Close the listeners, the background loops and the sessions."""
         for runner in self._runners:
             await runner.cleanup()
         await self.context.close()
--- a/packages/ragworthollow-daemon/src/ragworthollow_daemon/gateway/service.py
+++ b/packages/ragworthollow-daemon/src/ragworthollow_daemon/gateway/service.py
@@ -10,28 +10,28 @@
 from ragworthollow.logs.events import log_error, log_event
 from ragworthollow_daemon.gateway.role import GatewayRole
 
-_CUT_EXIT_CODE = 1
+_FORCED_EXIT_CODE = 1
 
 
 class GatewayService(Service):
     """
-    Start a gateway, serve, and stop without cutting a request.
+    Start a gateway, serve, and stop without interrupting requests.
 
     Parameters
     ----------
     settings : GatewaySettings
-        Checked settings.
+        Validated settings.
     """
 
     settings: GatewaySettings
 
     async def start(self) -> None:
-        """Begin to serve."""
+        """Install the signal handlers and start the gateway."""
         self._stopping = asyncio.Event()
         loop = asyncio.get_running_loop()
-        for number in (signal.SIGTERM, signal.SIGINT):
-            loop.add_signal_handler(number, self._take_stop)
-        loop.add_signal_handler(signal.SIGHUP, self._take_reload)
+        for signal_number in (signal.SIGTERM, signal.SIGINT):
+            loop.add_signal_handler(signal_number, self._handle_stop_signal)
+        loop.add_signal_handler(signal.SIGHUP, self._handle_reload_signal)
         self._role = GatewayRole(settings=self.settings)
         await self._role.start()
         log_event(
@@ -47,14 +47,14 @@
         await self._role.close()
 
     async def serve(self) -> None:
-        """Serve until a signal asks for a stop and the stop is complete."""
+        """Serve until a signal requests shutdown and it is complete."""
         await self._stopping.wait()
         await self._role.stop()
-        # Nothing is kept, so that there is nothing to tear down; the time up
-        # to KILL belongs to what was still served.
+        # The process keeps no state that needs a teardown; the time before
+        # SIGKILL is reserved for the requests in flight.
         os._exit(0)
 
-    def _take_stop(self) -> None:
+    def _handle_stop_signal(self) -> None:
         drain = self._role.context.drain
         if drain.is_draining:
             log_error(
@@ -63,7 +63,7 @@
                 peer=self.settings.instance,
                 cut=drain.in_flight,
             )
-            os._exit(_CUT_EXIT_CODE)
+            os._exit(_FORCED_EXIT_CODE)
         self._role.begin_stop()
         log_event(
             'draining',
@@ -73,5 +73,5 @@
         )
         self._stopping.set()
 
-    def _take_reload(self) -> None:
+    def _handle_reload_signal(self) -> None:
         log_event('reload', step='lifecycle', peer=self.settings.instance)
--- a/packages/ragworthollow-daemon/src/ragworthollow_daemon/gateway/status_routes.py
+++ b/packages/ragworthollow-daemon/src/ragworthollow_daemon/gateway/status_routes.py
@@ -1,4 +1,4 @@
-"""Serve the metrics and the state of a gateway."""
+"""Serve the metrics and the status of a gateway."""
 
 import msgspec
 from aiohttp import web
@@ -22,30 +22,31 @@
 
 class GatewayStatus(Message, omit_defaults=False):
     """
-    Show the state of a gateway.
+    Describe the state of a gateway.
 
     Attributes
     ----------
     instance, incarnation : str
-        Which process it is.
+        Name of the gateway, and identifier of its process.
     version : int or None
-        Configuration in force.
+        Version of the configuration in effect.
     list_age_ms : int or None
-        Age of the list of instances.
+        Age of the list of instances, in milliseconds.
     members : int
-        Gateways that this one knows, itself included.
+        Number of gateways that this one knows, including itself.
     draining : bool
-        Whether it is stopping.
+        Whether it is shutting down.
     in_flight : int
-        Requests it serves now.
+        Number of requests in flight.
     instances : dict
-        Instances that may get work, by pool.
+        Names of the instances that may get work, by pool.
     waits_ms : dict
-        Expected waits of pools with gates, for the most urgent requests.
+        Expected waits of pools with gates, in milliseconds, for the most
+        urgent requests.
     store_calls : int
-        Calls to the store since the start.
+        Number of calls to the store since the start.
     violations : int
-        Violated invariants since the start; any is a defect.
+        Number of violated invariants since the start; any is a defect.
     """
 
     instance: str
@@ -63,14 +64,14 @@
 
 class StatusRoutes:
     """
-    Answer those who watch this process.
+    Handle the requests of monitoring systems and operators.
 
     Parameters
     ----------
     context : GatewayContext
-        Of this process.
+        Shared state of this gateway.
     pieces : PieceClient
-        Knows the waits of gates.
+        Provides the expected waits of gates.
     """
 
     def __init__(
@@ -83,7 +84,7 @@
         self._pieces = pieces
 
     def make_application(self) -> web.Application:
-        """Make the application for the metrics address."""
+        """Create the web application for the metrics address."""
         application = web.Application()
         application.router.add_get('/metrics', self.get_metrics)
         application.router.add_get('/status', self.get_status)
@@ -93,7 +94,7 @@
         return application
 
     async def get_metrics(self, _request: web.Request) -> web.Response:
-        """Render the metrics in the text format of scrapers."""
+        """Render the metrics in the Prometheus text format."""
         context = self._context
         table = context.table
         context.metrics.set_state('version', table.version if table else 0)
@@ -116,11 +117,11 @@
         )
 
     async def get_status(self, _request: web.Request) -> web.Response:
-        """Show the state as JSON."""
+        """Return the status as JSON."""
         context = self._context
         table = context.table
         pools = table.pools if table else {}
-        gated = [one.name for one in pools.values() if one.pieces]
+        gated_pools = [pool.name for pool in pools.values() if pool.pieces]
         return respond(
             GatewayStatus(
                 instance=context.settings.instance,
@@ -131,22 +132,22 @@
                 draining=context.drain.is_draining,
                 in_flight=context.drain.in_flight,
                 instances={pool: self._list_instances(pool) for pool in pools},
-                waits_ms=self._pieces.get_waits_ms(gated, 0),
+                waits_ms=self._pieces.get_waits_ms(gated_pools, 0),
                 store_calls=context.store.calls,
                 violations=context.monitor.violations,
             ),
         )
 
     async def show_instances(self, _request: web.Request) -> web.Response:
-        """Show drained failure domains and throttled instances."""
+        """Return drained failure domains and throttled instances as JSON."""
         return respond(describe_instances(self._context))
 
     async def list_quarantined(self, _request: web.Request) -> web.Response:
-        """List the requests that are quarantined, as JSON."""
+        """Return the quarantined requests as JSON."""
         return respond(self._context.quarantine.list_quarantined())
 
     async def release(self, request: web.Request) -> web.Response:
-        """Let a request in again, here and at the other gateways."""
+        """Release a request from quarantine on all gateways."""
         body = await request.read()
         try:
             order = msgspec.json.decode(body, type=ReleaseOrder)
@@ -156,8 +157,8 @@
         return respond(ReleaseAnswer(is_released=is_released))
 
     def _list_instances(self, pool: str) -> list[str]:
-        found = self._context.directory.get_pool(pool)
-        return [one.instance for one in found]
+        instances = self._context.directory.get_pool(pool)
+        return [instance.instance for instance in instances]
 
     def _get_list_age_ms(self) -> int | None:
         age_ms = get_monotonic_ms() - self._context.directory.updated_ms
--- a/packages/ragworthollow-daemon/src/ragworthollow_daemon/gateway/stop_state.py
+++ b/packages/ragworthollow-daemon/src/ragworthollow_daemon/gateway/stop_state.py
@@ -1,4 +1,4 @@
-"""Decide what a gateway that stops still takes, and when it gives up."""
+"""Decide what a stopping gateway accepts, and when it aborts requests."""
 
 import asyncio
 from collections.abc import Callable, Coroutine
@@ -12,100 +12,102 @@
 _MILLISECONDS = 1000
 
 
-def _may_always_end() -> bool:
+def _always_allow() -> bool:
     return True
 
 
 class StopState:
     """
-    Know when the process ends.
+    Track the shutdown deadline of the process.
 
-    A request that is taken shortly before the end would be cut, which tells
-    its caller nothing.  So a stopping process refuses what it cannot finish,
-    and shortly before its end it answers everything that has no answer yet.
+    A request accepted shortly before the exit would be interrupted without a
+    response to its caller.  So a stopping process refuses requests that it
+    cannot finish, and shortly before it exits it responds to all requests
+    that have no response yet.
 
-    Times are on the clock that counts suspended time, as the platform's grace
-    time does: one that stands still lets a process serve on until it is killed.
+    Times are on the clock that counts suspended time, like the platform's
+    grace period.  With a clock that stops during suspension, the process would
+    keep serving until it is killed.
     """
 
     def __init__(self) -> None:
-        self._began_ms: float | None = None
-        self._ends_ms = float('inf')
-        self._closing = asyncio.Event()
+        self._started_ms: float | None = None
+        self._deadline_ms = float('inf')
+        self._abort_requested = asyncio.Event()
 
     def begin(self, now_ms: float, grace_ms: float) -> None:
-        """Note that the process stops, and when it has to be gone."""
-        self._began_ms = now_ms
+        """Record the start of the shutdown, and set its deadline."""
+        self._started_ms = now_ms
         margin_ms = (
             global_settings.GATEWAY_STOP_MARGIN_MS
             + global_settings.GATEWAY_LAST_ANSWERS_MS
         )
-        self._ends_ms = now_ms + grace_ms - margin_ms
+        self._deadline_ms = now_ms + grace_ms - margin_ms
 
     def get_left_ms(self, now_ms: float) -> float:
-        """Return the time in which requests can still be finished."""
-        return self._ends_ms - now_ms
+        """Return the time left in which requests can still finish."""
+        return self._deadline_ms - now_ms
 
     async def wait(self, longest_ms: float) -> None:
-        """Wait for so long, and no longer than requests can be finished."""
-        end_ms = min(get_boottime_ms() + longest_ms, self._ends_ms)
-        while get_boottime_ms() < end_ms:
+        """Wait, but not beyond the time in which requests can finish."""
+        wait_until_ms = min(get_boottime_ms() + longest_ms, self._deadline_ms)
+        while get_boottime_ms() < wait_until_ms:
             await asyncio.sleep(global_settings.STOP_STEP_MS / _MILLISECONDS)
 
     def accepts(self, route: Route, limit_ms: float, now_ms: float) -> bool:
         """
-        Tell whether a request can still be finished here.
+        Return whether a request can still finish in this process.
 
         Parameters
         ----------
         route : Route
-            Its route; how long a stream lasts is known to nobody.
+            Its route; the duration of a stream is not known in advance.
         limit_ms : float
-            Longest time that it may take.
+            Maximum time that it may take.
         now_ms : float
             Time on the clock that counts suspended time.
         """
-        if self._began_ms is None:
+        if self._started_ms is None:
             return True
         if route.is_stream():
-            stopping_ms = now_ms - self._began_ms
-            return stopping_ms < global_settings.GATEWAY_LATE_STREAM_MS
+            since_stop_ms = now_ms - self._started_ms
+            return since_stop_ms < global_settings.GATEWAY_LATE_STREAM_MS
         return limit_ms < self.get_left_ms(now_ms)
 
     def give_up(self) -> None:
-        """Have everything answered that has no answer yet."""
-        self._closing.set()
+        """Abort unanswered work, so that its callers get a response."""
+        self._abort_requested.set()
 
     async def run(
         self,
         work: Coroutine[None, None, Outcome],
-        may_end: Callable[[], bool] = _may_always_end,
+        may_end: Callable[[], bool] = _always_allow,
     ) -> Outcome | None:
         """
-        Do work until it is done or the process gives up.
+        Run work until it is done or the process aborts it.
 
         Parameters
         ----------
         work : coroutine
-            Cancelled when the process gives up.
+            The work, which is cancelled when the process gives up.
         may_end : callable
-            Tells then whether it may be cancelled.
+            Called at that point; returns whether the work may be cancelled.
 
         Returns
         -------
         object or None
-            What the work returned; None when it was given up.
+            The result of the work; None if it was aborted.
         """
         task = asyncio.ensure_future(work)
-        closing = asyncio.ensure_future(self._closing.wait())
+        abort_wait = asyncio.ensure_future(self._abort_requested.wait())
         try:
             await asyncio.wait(
-                {task, closing},
+                {task, abort_wait},
                 return_when=asyncio.FIRST_COMPLETED,
             )
             if task.done() or not may_end():
                 return await task
             return None
         finally:
-            closing.cancel()
+            abort_wait.cancel()
             task.cancel()
--- a/packages/ragworthollow-daemon/src/ragworthollow_daemon/gateway/store_follower.py
+++ b/packages/ragworthollow-daemon/src/ragworthollow_daemon/gateway/store_follower.py
@@ -1,4 +1,4 @@
-"""Read the store for all that follow it."""
+"""Poll the store, and notify subscribers of its state."""
 
 import asyncio
 import contextlib
@@ -19,53 +19,63 @@
 from ragworthollow_daemon.gateway.store_reports import StoreReports
 
 AskPeers = Callable[[StorePosition], Awaitable[Sequence[HeardNews]]]
-_EVERYTHING = ''
+_ALL_KEYS = ''
 _MILLISECONDS = 1000
-_LEAST_PAUSE_MS = 1
+_MIN_PAUSE_MS = 1
 
 
 class Follower(Protocol):
-    """Take what the store holds, or hear that it could not be read."""
+    """Receive the state of the store, or that it could not be read."""
 
     def take(self, found: Mapping[str, Stored], asked_ms: float) -> None:
-        """Take all keys, known to be the newest as of `asked_ms`."""
+        """
+        Apply all records, known to be current as of `asked_ms`.
+
+        Parameters
+        ----------
+        found : mapping of str to Stored
+            All records by key.
+        asked_ms : float
+            Time of the confirmation, on the monotonic clock.
+        """
 
     def note_lost(self, detail: str) -> None:
-        """Hear that the store could not be read."""
+        """Handle a failure to read the store."""
 
 
 class StoreFollower:
     """
-    Know what the store holds, and tell each follower.
+    Keep the replica of the store fresh, and notify subscribers.
 
-    A gateway reads everything once, then what has changed, and only when the
-    youngest evidence that it holds has grown too old: its own, or that of a
-    gateway that it asks something anyhow.  So a few read for all, and one
-    that hears from nobody, or whose readers die, freeze or lose the store,
-    reads for itself within the same bound.
+    A gateway reads all keys once and only the changes after that.  It polls
+    only when its latest confirmation has become too stale.  Confirmations come
+    from its own reads, or from peers that it contacts for other reasons.  So
+    a few gateways poll on behalf of all.  A gateway that gets no updates, for
+    example because the readers have died, are frozen or cannot reach the
+    store, polls by itself within the same bound.
 
-    Reading everything each time sends the configuration each time: 350 KB of
-    1,400 routes take 560 ms of a link of 5 Mbit/s.  Changes alone are a few
-    kilobytes.
+    Reading all keys each time would transfer the configuration each time:
+    350 KB for 1,400 routes take 560 ms on a link of 5 Mbit/s.  Changes alone
+    are a few kilobytes.
 
     Parameters
     ----------
     context : GatewayContext
-        Of this process.
+        Shared state of this gateway.
     followers : sequence of Follower
-        In the order in which they are told.
+        Subscribers, in the order in which they are notified.
     replica : Replica
-        The copy that is kept.
+        The replica to keep fresh.
     paces : FollowPaces
-        How old evidence may grow.
+        Limits of the replica's staleness.
     get_place : callable
-        Tells the place of this gateway among those that others ask, 0 first;
-        None when nobody asks it.
+        Returns the rank of this gateway among the readers of the store, 0 for
+        the first; None if no peer relies on its reads.
     ask_peers : callable
-        Asks other gateways when the store does not answer, and returns what
-        they say.
+        Requests updates from peers while the store does not answer, and
+        returns them.
     spread : float
-        Part of the longest age by which this gateway reads sooner.
+        Share of the maximum staleness by which this gateway polls earlier.
     """
 
     def __init__(
@@ -85,34 +95,34 @@
         self._paces = paces
         self._get_place = get_place
         self._ask_peers = ask_peers
-        self._trust_ms = paces.trust_ms * (1 - spread)
-        self._reread_ms = float('-inf')
-        self._checked_ms = float('-inf')
-        self._told_ms = float('-inf')
-        self._reports = StoreReports(
+        self._max_staleness_ms = paces.trust_ms * (1 - spread)
+        self._next_full_read_ms = float('-inf')
+        self._last_full_read_ms = float('-inf')
+        self._last_notified_ms = float('-inf')
+        self._reporter = StoreReports(
             metrics=context.metrics,
             replica=replica,
         )
-        # Timeline in which others were asked what they retain.
-        self._compared_timeline = 0
+        # Timeline for which peers were asked for the keys that they retain.
+        self._synced_timeline = 0
         self._is_behind = asyncio.Event()
 
     async def run(self) -> None:
-        """Keep the copy young until cancelled."""
+        """Keep the replica fresh until cancelled."""
         failures = 0
         while True:
             if failures:
                 pause_ms = get_retry_ms(
                     failures,
-                    self._paces.retry_longest_ms,
+                    self._paces.max_retry_ms,
                 )
                 await asyncio.sleep(pause_ms / _MILLISECONDS)
-            await self._wait_until_old()
+            await self._wait_until_stale()
             failures = 0 if await self.poll() else failures + 1
 
     async def poll(self) -> bool:
         """
-        Read once; where the store does not answer, ask other gateways.
+        Read the store once; if it does not answer, ask peers for updates.
 
         Returns
         -------
@@ -122,96 +132,96 @@
         self._is_behind.clear()
         asked_ms = get_boottime_ms()
         read = await self._read()
-        self._reports.note_read(asked_ms, read)
+        self._reporter.record_read(asked_ms, read)
         if isinstance(read, Err):
-            if not await self._hear_peers():
+            if not await self._fetch_peer_updates():
                 for follower in self._followers:
                     follower.note_lost(str(read.err_value))
             return False
         self._replica.evidence.note(asked_ms)
-        self._tell()
-        if self._replica.view.timeline != self._compared_timeline:
-            self._compared_timeline = self._replica.view.timeline
-            await self._hear_peers()
+        self._notify()
+        if self._replica.view.timeline != self._synced_timeline:
+            self._synced_timeline = self._replica.view.timeline
+            await self._fetch_peer_updates()
         return True
 
     def take_news(self, news: StoreNews, asked_ms: float) -> bool:
         """
-        Take what another gateway tells of the store.
+        Apply an update from a peer.
 
         Parameters
         ----------
         news : StoreNews
-            What it told.
-        asked_ms : float
-            When it was asked, on the clock that counts suspended time.
+            The update.
+        sent_ms : float
+            When it was requested, on CLOCK_BOOTTIME.
 
         Returns
         -------
         bool
-            Whether the evidence is younger than what was held.
+            Whether the replica is now fresher than before.
         """
         effect = self._replica.take_news(news, asked_ms, get_boottime_ms())
         if effect.is_behind:
             self._is_behind.set()
-        if effect.is_younger:
+        if effect.is_fresher:
             self._context.metrics.count_event('store_heard')
-            self._put_reread_off()
+            self._postpone_full_read()
         if effect.has_changed or (
-            effect.is_younger and self._is_time_to_tell()
+            effect.is_fresher and self._is_notification_due()
         ):
-            self._tell()
-        return effect.is_younger
+            self._notify()
+        return effect.is_fresher
 
-    async def _wait_until_old(self) -> None:
+    async def _wait_until_stale(self) -> None:
         """
-        Wait until the evidence is too old, or the copy known to be behind.
+        Wait until the replica is too stale, or known to be behind.
 
-        A gateway may be asked by others from one moment to the next, and may
-        then let evidence grow less old than it did.
+        The limit is checked repeatedly, since it drops when this gateway
+        becomes a reader for its peers.
         """
-        while not (self._is_behind.is_set() or self._is_restored()):
+        while not (self._is_behind.is_set() or self._was_restored()):
             age_ms = self._replica.evidence.get_age_ms(get_boottime_ms())
-            left_ms = self._get_limit_ms() - age_ms
+            left_ms = self._get_max_staleness_ms() - age_ms
             if left_ms <= 0:
                 return
             pause_ms = min(
-                max(left_ms, _LEAST_PAUSE_MS),
+                max(left_ms, _MIN_PAUSE_MS),
                 global_settings.HOST_PING_MS,
             )
             with contextlib.suppress(TimeoutError):
                 async with asyncio.timeout(pause_ms / _MILLISECONDS):
                     await self._is_behind.wait()
 
-    def _is_restored(self) -> bool:
-        """Tell whether the store was restored since the state that is held."""
+    def _was_restored(self) -> bool:
+        """Return whether the store was restored since the replica's state."""
         return self._context.store.timeline > self._replica.view.timeline
 
-    def _get_limit_ms(self) -> float:
+    def _get_max_staleness_ms(self) -> float:
         place = self._get_place()
         if place is None:
-            return self._trust_ms
+            return self._max_staleness_ms
         return self._paces.get_read_ms(place)
 
-    async def _hear_peers(self) -> bool:
+    async def _fetch_peer_updates(self) -> bool:
         """
-        Ask other gateways, and tell whether they know of a younger state.
+        Apply updates from peers; return whether the replica is now fresher.
 
-        The store may turn some gateways away while it answers others.
+        The store may refuse some gateways while it answers others.
         """
-        heard = await self._ask_peers(self._replica.view.get_position())
-        is_younger = False
-        for one in heard:
-            is_younger |= self.take_news(one.news, one.asked_ms)
-        return is_younger
-
-    def _is_time_to_tell(self) -> bool:
-        since_ms = get_boottime_ms() - self._told_ms
+        updates = await self._ask_peers(self._replica.view.get_position())
+        is_fresher = False
+        for update in updates:
+            is_fresher |= self.take_news(update.news, update.asked_ms)
+        return is_fresher
+
+    def _is_notification_due(self) -> bool:
+        since_ms = get_boottime_ms() - self._last_notified_ms
         return since_ms >= global_settings.FOLLOWERS_TOLD_MS
 
-    def _tell(self) -> None:
+    def _notify(self) -> None:
         now_ms = get_boottime_ms()
-        self._told_ms = now_ms
+        self._last_notified_ms = now_ms
         age_ms = self._replica.evidence.get_age_ms(now_ms)
         proved_ms = get_monotonic_ms() - age_ms
         found = self._replica.get_found(now_ms)
@@ -220,10 +230,10 @@
 
     async def _read(self) -> Result[None, PlatformError]:
         now_ms = get_boottime_ms()
-        if now_ms >= self._reread_ms:
-            return await self._read_everything()
+        if now_ms >= self._next_full_read_ms:
+            return await self._read_all_keys()
         changes = await self._context.store.read_changes(
-            _EVERYTHING,
+            _ALL_KEYS,
             after_revision=self._replica.view.revision,
             longest_bytes=max(
                 self._replica.view.size_bytes,
@@ -231,53 +241,55 @@
             ),
         )
         if isinstance(changes, Err):
-            # A watch may be silent while the store answers reads; an instance
-            # that leaves meanwhile would get work until the watch is back.
-            self._reread_ms = now_ms
+            # The watch may fail while the store still answers reads.  Without
+            # a full read, an instance that shuts down in the meantime would
+            # get work until the watch recovers.
+            self._next_full_read_ms = now_ms
             return changes
         if changes.ok_value is None or not self._replica.apply(
             changes.ok_value,
         ):
-            return await self._read_everything()
+            return await self._read_all_keys()
         if changes.ok_value.is_whole:
             return Ok(None)
         self._context.metrics.count_event('store_change_unheard')
-        return await self._read_everything()
+        return await self._read_all_keys()
 
-    async def _read_everything(self) -> Result[None, PlatformError]:
+    async def _read_all_keys(self) -> Result[None, PlatformError]:
         began_ms = get_boottime_ms()
-        snapshot = await self._context.store.read_prefix(_EVERYTHING)
+        snapshot = await self._context.store.read_prefix(_ALL_KEYS)
         if isinstance(snapshot, Err):
             return snapshot
         now_ms = get_boottime_ms()
         if snapshot.ok_value.timeline < self._replica.view.timeline:
-            return Err(self._reports.explain_older(snapshot.ok_value))
+            return Err(self._reporter.make_stale_read_error(snapshot.ok_value))
         held = self._replica.view.get_position()
         if self._replica.replace(snapshot.ok_value, now_ms):
-            self._reports.note_restored(held)
-            # Entries that it lost come back like those that lapse in an outage.
+            self._reporter.record_restore(held)
+            # Lost records reappear like those that expire during an outage.
             for follower in self._followers:
                 follower.note_lost('restored from a copy')
         self._context.metrics.count_event('store_read_whole')
         is_short = now_ms - began_ms <= global_settings.STORE_REREAD_LONGEST_MS
-        self._checked_ms = now_ms
-        self._reread_ms = (
+        self._last_full_read_ms = now_ms
+        self._next_full_read_ms = (
             now_ms + global_settings.STORE_REREAD_MS
             if is_short
             else float('inf')
         )
         return Ok(None)
 
-    def _put_reread_off(self) -> None:
+    def _postpone_full_read(self) -> None:
         """
-        Leave the check of the copy to the gateway whose evidence this is.
+        Rely on the full reads of the peer that confirmed the replica.
 
-        Not for ever: what others say is compared with the store from time to
-        time, since one that is wrong would be believed otherwise.
+        The delay is limited: the replica is still compared with the store from
+        time to time, since wrong updates from a peer would never be detected
+        otherwise.
         """
         now_ms = get_boottime_ms()
         later_ms = min(
             now_ms + global_settings.STORE_REREAD_MS,
-            self._checked_ms + global_settings.STORE_SELF_CHECK_MS,
+            self._last_full_read_ms + global_settings.STORE_SELF_CHECK_MS,
         )
-        self._reread_ms = max(self._reread_ms, later_ms)
+        self._next_full_read_ms = max(self._next_full_read_ms, later_ms)
--- a/packages/ragworthollow-daemon/src/ragworthollow_daemon/gateway/store_reports.py
+++ b/packages/ragworthollow-daemon/src/ragworthollow_daemon/gateway/store_reports.py
@@ -1,4 +1,4 @@
-"""Log and count what becomes of reads of the store."""
+"""Log and count the outcomes of reads of the store."""
 
 from result import Err, Result
 
@@ -16,14 +16,14 @@
 
 class StoreReports:
     """
-    Tell operators how a gateway follows the store.
+    Report to operators how well a gateway keeps up with the store.
 
     Parameters
     ----------
     metrics : Metrics
-        Of this process.
+        Metrics of this process.
     replica : Replica
-        The copy that is kept.
+        This gateway's replica of the store.
     """
 
     def __init__(self, *, metrics: Metrics, replica: Replica) -> None:
@@ -31,34 +31,42 @@
         self._replica = replica
         self._is_reachable = True
 
-    def note_read(
+    def record_read(
         self,
-        asked_ms: float,
+        sent_ms: float,
         read: Result[None, PlatformError],
     ) -> None:
         """
-        Count a read, and how long it took.
+        Count a read, and record its duration.
 
-        The log names the first read that is lost; these tell whether all
-        later ones are lost too, and how near to it the good ones come.
+        The log only reports the first failed read.  These metrics show whether
+        all later reads fail too, and how close successful ones come to the
+        timeout.
+
+        Parameters
+        ----------
+        sent_ms : float
+            When the read began, on CLOCK_BOOTTIME.
+        read : Result
+            Its outcome.
         """
-        took_ms = get_boottime_ms() - asked_ms
+        took_ms = get_boottime_ms() - sent_ms
         if isinstance(read, Err):
             self._metrics.count_event('store_read_lost')
-            self._note_reachable(str(read.err_value), is_reachable=False)
+            self._record_reachable(str(read.err_value), is_reachable=False)
             return
         self._metrics.count_event('store_read')
         self._metrics.set_state('store_read_ms', took_ms)
-        self._note_reachable('', is_reachable=True)
+        self._record_reachable('', is_reachable=True)
 
-    def note_restored(self, held: StorePosition) -> None:
+    def record_restore(self, previous: StorePosition) -> None:
         """
-        Log that the store has lost what it had accepted.
+        Log that a restored store has lost accepted changes.
 
         Parameters
         ----------
-        held : StorePosition
-            Of the state that was held before.
+        previous : StorePosition
+            Position of the replica before the restore was noticed.
         """
         view = self._replica.view
         self._metrics.count_event('store_restored')
@@ -68,23 +76,26 @@
             peer=_PEER,
             timeline=view.timeline,
             revision=view.revision,
-            held_timeline=held.timeline,
-            held_revision=held.revision,
+            held_timeline=previous.timeline,
+            held_revision=previous.revision,
             retained=self._replica.count_retained(),
         )
 
-    def explain_older(self, snapshot: StoreSnapshot) -> PlatformError:
-        """Say why a read that was on its way is not taken."""
+    def make_stale_read_error(self, snapshot: StoreSnapshot) -> PlatformError:
+        """Make the error for a read of a state older than the replica's."""
         self._metrics.count_event('store_state_older')
         known = self._replica.view.timeline
         return PlatformError(
             step=_STEP,
             peer=_PEER,
-            detail=f'read in timeline {snapshot.timeline}, others know {known}',
+            detail=(
+                f'read a state of timeline {snapshot.timeline}, but timeline '
+                f'{known} is already known'
+            ),
             may_have_applied=False,
         )
 
-    def _note_reachable(self, detail: str, *, is_reachable: bool) -> None:
+    def _record_reachable(self, detail: str, *, is_reachable: bool) -> None:
         if is_reachable == self._is_reachable:
             return
         self._is_reachable = is_reachable
--- a/packages/ragworthollow/src/ragworthollow/replica/__init__.py
+++ b/packages/ragworthollow/src/ragworthollow/replica/__init__.py
@@ -1,4 +1,4 @@
-"""Know what the store holds, and since when that is known."""
+"""Replicate the store, and track how fresh the replica is."""
 
 from ragworthollow.replica.evidence import Evidence
 from ragworthollow.replica.follow_paces import FollowPaces, derive_paces
--- a/packages/ragworthollow/src/ragworthollow/replica/evidence.py
+++ b/packages/ragworthollow/src/ragworthollow/replica/evidence.py
@@ -1,20 +1,21 @@
-"""Keep since when a copy of the store is known to be the newest."""
+"""Track as of when a replica of the store is known to be up to date."""
 
 import math
 
 
 class Evidence:
     """
-    Hold the youngest proof that nothing newer was in the store.
+    Hold the latest time at which the replica was known to be up to date.
 
-    A read that the store answers proves that its state was the newest when
-    the read began.  Whoever holds that state holds the proof too, so that a
-    gateway may take it from another one.  Clocks of two machines are not
-    compared: a proof is told with its age, and counts from before it was
-    asked for, however long the answer took.
+    A successful read proves that the state it returned was current when the
+    read began.  The proof applies to every copy of that state, so a gateway
+    may accept it from a peer.  Clocks of different machines are not compared:
+    a proof is sent with its age, which the receiver subtracts from the time
+    of its request, so that the response time never makes it look fresher.
 
-    Times are on the clock that goes on while a machine is suspended.  One
-    that stands still would tell others of a proof that is seconds older.
+    Times are on a clock that keeps running while the machine is suspended.
+    With one that stops, a gateway would report a proof to its peers as
+    seconds fresher than it is.
     """
 
     def __init__(self) -> None:
@@ -22,21 +23,21 @@
 
     def note(self, proved_ms: float) -> bool:
         """
-        Take a proof, and tell whether it is younger than all before.
+        Record a proof, and return whether it is the most recent so far.
 
         Parameters
         ----------
         proved_ms : float
-            Moment at which the copy is known to have been the newest.
+            Time at which the replica is known to have been up to date.
         """
-        is_younger = proved_ms > self._proved_ms
+        is_fresher = proved_ms > self._proved_ms
         self._proved_ms = max(self._proved_ms, proved_ms)
-        return is_younger
+        return is_fresher
 
     def is_known(self) -> bool:
-        """Tell whether there is any proof."""
+        """Return whether any proof has been recorded."""
         return math.isfinite(self._proved_ms)
 
     def get_age_ms(self, now_ms: float) -> float:
-        """Return how long ago the copy was the newest for certain."""
+        """Return the time since the replica was known to be up to date."""
         return now_ms - self._proved_ms
--- a/packages/ragworthollow/src/ragworthollow/replica/follow_paces.py
+++ b/packages/ragworthollow/src/ragworthollow/replica/follow_paces.py
@@ -1,4 +1,4 @@
-"""Derive from the installation's bounds how often the store is read."""
+"""Derive how often the store is polled from the propagation bounds."""
 
 from dataclasses import dataclass
 
@@ -8,60 +8,62 @@
 @dataclass(frozen=True, kw_only=True, slots=True)
 class FollowPaces:
     """
-    Say how old what is known of the store may grow.
+    Limit the age of a gateway's replica of the store.
 
     Attributes
     ----------
     trust_ms : float
-        Age of the youngest evidence, own or a peer's, at which a gateway reads
-        for itself.
+        Maximum age of the latest evidence, own or a peer's, in milliseconds;
+        at this age a gateway polls the store itself.
     read_ms : float
-        The same at the gateway that reads for the others.
+        The same limit for the first reader, the gateway that polls on behalf
+        of its peers.
     step_ms : float
-        How much later each further one that others ask reads, so that it
-        reads only where those before it do not.
-    retry_longest_ms : float
-        Longest pause between tries while the store does not answer.
+        Delay added for each further reader, so that it polls only if the
+        readers ranked before it have not.
+    max_retry_ms : float
+        Maximum delay between retries while the store does not answer.
     """
 
     trust_ms: float
     read_ms: float
     step_ms: float
-    retry_longest_ms: float
+    max_retry_ms: float
 
     def get_read_ms(self, place: int) -> float:
         """
-        Return the age at which one of those that others ask reads.
+        Return the evidence age at which a reader polls the store.
 
         Parameters
         ----------
         place : int
-            Its place among them, 0 first.
+            Rank of this gateway among the readers, 0 for the first.
         """
         return min(self.trust_ms, self.read_ms + place * self.step_ms)
 
 
 def derive_paces(*, bound_ms: float, heartbeat_ms: float) -> FollowPaces:
     """
-    Derive the paces from what they have to keep.
+    Derive the polling intervals from the bounds that they have to meet.
 
-    A change is accepted right after a read.  The evidence of that read grows
-    as old as `trust_ms`; then the gateway reads, the call is lost and made
-    again.  All that has to fit into a part of the bound.
+    In the worst case a change is accepted right after a read.  The evidence
+    of that read reaches the age `trust_ms`, the gateway polls, and the call
+    fails and is retried.  All of this has to fit into a share of the bound.
 
-    Entries of live instances lapse in an outage after three heartbeats.  An
-    outage has to be noticed before, since otherwise they would be taken for
-    gone; a heartbeat may just have been due when it began.
+    During an outage the entries of live instances expire after three
+    heartbeats.  The outage has to be detected before that, since the instances
+    would otherwise be considered gone; a heartbeat may just have been due when
+    the outage began.
 
     Parameters
     ----------
     bound_ms : float
-        Time from the acceptance of a change to its being in force.
+        Maximum time from the acceptance of a change until it takes effect.
     heartbeat_ms : float
-        Pace at which instances renew their entries.
+        Interval at which instances renew their entries.
     """
     step_ms = global_settings.HOST_PING_MS + global_settings.PEER_ANSWER_MS
-    lost_ms = (
+    failed_call_ms = (
         global_settings.STORE_TIMEOUT_MS
         + global_settings.STORE_RETRY_MS
         + global_settings.STORE_ANSWER_MS
@@ -69,15 +71,15 @@
     trust_ms = max(
         step_ms,
         min(
-            bound_ms * global_settings.CHANGE_SEEN_SHARE - lost_ms,
+            bound_ms * global_settings.CHANGE_SEEN_SHARE - failed_call_ms,
             2 * heartbeat_ms - global_settings.STORE_TIMEOUT_MS,
         ),
     )
-    # Room for two further readers and for the way to those that ask.
+    # Leaves time for two further readers and for passing the update to peers.
     read_ms = trust_ms - 3 * step_ms
     return FollowPaces(
         trust_ms=trust_ms,
         read_ms=max(read_ms, trust_ms * global_settings.READ_LEAST_SHARE),
         step_ms=step_ms,
-        retry_longest_ms=bound_ms * global_settings.STORE_RETRY_SHARE,
+        max_retry_ms=bound_ms * global_settings.STORE_RETRY_SHARE,
     )
--- a/packages/ragworthollow/src/ragworthollow/replica/news_codec.py
+++ b/packages/ragworthollow/src/ragworthollow/replica/news_codec.py
@@ -1,4 +1,4 @@
-"""Encode what one gateway tells another of the store."""
+"""Encode the store updates that gateways exchange."""
 
 import zlib
 
@@ -10,26 +10,26 @@
 
 
 def encode_news(news: StoreNews | None) -> bytes:
-    """Encode and compress news; a configuration shrinks to a tenth."""
+    """Encode and compress an update; a configuration shrinks to a tenth."""
     return zlib.compress(msgspec.json.encode(news))
 
 
 def decode_news(body: bytes) -> Result[StoreNews | None, str]:
     """
-    Decode news.
+    Decompress and decode an update.
 
     Returns
     -------
     Result
-        The news, None from a gateway that knows nothing; or what is wrong
-        with the bytes.
+        The update, None from a gateway whose replica is empty; or a
+        description of the decoding error.
     """
     try:
-        plain = zlib.decompressobj().decompress(
+        decompressed = zlib.decompressobj().decompress(
             body,
             global_settings.NEWS_LONGEST_BYTES,
         )
-        news = msgspec.json.decode(plain, type=StoreNews | None)
+        news = msgspec.json.decode(decompressed, type=StoreNews | None)
     except (zlib.error, msgspec.DecodeError) as error:
         return Err(repr(error))
     return Ok(news)
--- a/packages/ragworthollow/src/ragworthollow/replica/replica.py
+++ b/packages/ragworthollow/src/ragworthollow/replica/replica.py
@@ -1,4 +1,4 @@
-"""Keep a copy of the store that other gateways help to keep young."""
+"""Keep a replica of the store that is also updated by peer gateways."""
 
 from collections.abc import Mapping
 from dataclasses import dataclass
@@ -23,33 +23,34 @@
 @dataclass(frozen=True, kw_only=True, slots=True)
 class NewsEffect:
     """
-    Say what news did to the copy.
+    Describe how an update from a peer affected the replica.
 
     Attributes
     ----------
-    is_younger : bool
-        Whether the copy is now known to be newest as of a later moment.
+    is_fresher : bool
+        Whether the replica is now known to be up to date as of a later time.
     has_changed : bool
         Whether any key may have changed.
     is_behind : bool
-        Whether the store holds more than the copy and the news.
+        Whether the store has changes that neither the replica nor the update
+        contains.
     """
 
-    is_younger: bool = False
+    is_fresher: bool = False
     has_changed: bool = False
     is_behind: bool = False
 
 
 class Replica:
     """
-    Hold a copy of the store and the evidence that it is the newest.
+    Hold a copy of the store and the evidence of how fresh it is.
 
     Attributes
     ----------
     view : StoreView
         The copy.
     evidence : Evidence
-        Since when it is known to be the newest.
+        As of when the copy is known to be up to date.
     """
 
     def __init__(self) -> None:
@@ -62,28 +63,28 @@
         )
 
     def get_found(self, now_ms: float) -> Mapping[str, Stored]:
-        """Return what is in force: the store, and what it has to get back."""
+        """Return the entries in effect: the copy plus the retained keys."""
         return self._retained.merge(self.view.found, now_ms)
 
     def count_retained(self) -> int:
-        """Return the number of keys that hold although the store lost them."""
+        """Return the number of keys retained after a restore lost them."""
         return self._retained.count()
 
     def replace(self, snapshot: StoreSnapshot, now_ms: float) -> bool:
         """
-        Take all keys anew.
+        Replace the copy with a snapshot.
 
         Parameters
         ----------
         snapshot : StoreSnapshot
-            What the store held.
+            All keys of the store.
         now_ms : float
             Time on the clock of the evidence.
 
         Returns
         -------
         bool
-            Whether the store was restored since the state that was held.
+            Whether the store was restored since the previous copy.
         """
         is_first = not self.view.revision
         is_restored = snapshot.timeline > self.view.timeline
@@ -98,13 +99,13 @@
         self.view.replace(snapshot)
         if not is_restored:
             self._retained.note_written(
-                _find_written(before, self.view.found),
+                _find_changed_keys(before, self.view.found),
                 self.view.found,
             )
         return is_restored and not is_first
 
     def apply(self, changes: StoreChanges) -> bool:
-        """Take what has changed; False for changes of another timeline."""
+        """Apply changes; return False if they are of another timeline."""
         if changes.timeline != self.view.timeline:
             return False
         self.view.apply(changes)
@@ -123,23 +124,23 @@
         may_be_snapshot: bool = False,
     ) -> StoreNews | None:
         """
-        Tell what is known to one that knows everything up to a revision.
+        Build the update for a peer that knows all changes up to a position.
 
         Parameters
         ----------
         after : StorePosition
-            Up to which the asker knows everything.
+            Position up to which the peer knows all changes.
         now_ms : float
             Time on the clock of the evidence.
         longest_bytes : float
-            Size of values from which they are left out.
+            Size, in bytes, above which changes are left out.
         may_be_snapshot : bool
-            Whether all keys may be told where the changes are not known.
+            Whether to send all keys if the changes are no longer known.
 
         Returns
         -------
         StoreNews or None
-            None while nothing is known.
+            None while the replica is empty.
         """
         if not self.evidence.is_known():
             return None
@@ -159,7 +160,7 @@
             timeline=self.view.timeline,
             retained=self._retained.tell(now_ms) if may_be_snapshot else (),
         )
-        if changes is None or _measure(changes) > longest_bytes:
+        if changes is None or _get_size(changes) > longest_bytes:
             return news
         return msgspec.structs.replace(
             news,
@@ -184,57 +185,57 @@
         now_ms: float,
     ) -> NewsEffect:
         """
-        Take what another gateway tells.
+        Apply an update from a peer.
 
-        A copy that holds all that the news speaks of was the newest when the
-        news was: it is not the revisions that have to be equal.  One that is
-        behind and gets no content learns only that it is behind.
+        A replica that contains everything in the update was up to date
+        whenever the peer was, even if its revision is higher.  A replica that
+        is behind and gets no content only learns that it is behind.
 
         Parameters
         ----------
         news : StoreNews
-            What was told.
+            The update.
         asked_ms : float
-            When it was asked for, on the clock of the evidence.  The age was
-            worked out after that, so that the proof is no older than the age
-            before this moment; how long the answer took does not matter.
+            When it was requested, on the clock of the evidence.  The peer
+            computed the age after this time, so the proof is at least as
+            recent as this time minus the age, however long the response took.
         now_ms : float
             Time on the clock of the evidence.
         """
         if news.timeline < self.view.timeline:
-            # What it knows was lost when the store was restored.
+            # The peer's state was discarded when the store was restored.
             return NewsEffect()
         is_behind = news.get_position() > self.view.get_position()
-        leads_there = (
+        can_catch_up = (
             news.is_snapshot or news.timeline == self.view.timeline
         ) and news.is_complete
-        if is_behind and not leads_there:
+        if is_behind and not can_catch_up:
             return NewsEffect(is_behind=True)
         if is_behind:
             self._apply(news, now_ms)
-        has_adopted = self._retained.adopt(
+        has_merged = self._retained.adopt(
             news.retained,
             self.view.found,
             now_ms,
         )
-        is_younger = self.evidence.note(asked_ms - max(0, news.age_ms))
+        is_fresher = self.evidence.note(asked_ms - max(0, news.age_ms))
         return NewsEffect(
-            is_younger=is_younger,
-            has_changed=is_behind or has_adopted,
+            is_fresher=is_fresher,
+            has_changed=is_behind or has_merged,
         )
 
     def _apply(self, news: StoreNews, now_ms: float) -> None:
         written = {
-            one.key: Stored(
-                text=one.text,
-                mod_revision=one.revision,
-                create_revision=one.created,
+            entry.key: Stored(
+                text=entry.text,
+                mod_revision=entry.revision,
+                create_revision=entry.created,
                 timeline=news.timeline,
             )
-            for one in news.written
+            for entry in news.written
         }
         if news.is_snapshot:
-            size_bytes = sum(len(one.text) for one in news.written)
+            size_bytes = sum(len(entry.text) for entry in news.written)
             self.replace(
                 StoreSnapshot(
                     found=written,
@@ -256,21 +257,21 @@
         )
 
 
-def _find_written(
+def _find_changed_keys(
     before: Mapping[str, Stored],
-    found: Mapping[str, Stored],
+    after: Mapping[str, Stored],
 ) -> set[str]:
     """Return the keys that were written or removed between two states."""
     return {
         key
-        for key in before.keys() | found.keys()
+        for key in before.keys() | after.keys()
         if key not in before
-        or key not in found
-        or not before[key].is_same_write(found[key])
+        or key not in after
+        or not before[key].is_same_write(after[key])
     }
 
 
-def _measure(changes: StoreChanges) -> int:
+def _get_size(changes: StoreChanges) -> int:
     return sum(
         len(key) + len(stored.text) for key, stored in changes.written.items()
     )
--- a/packages/ragworthollow/src/ragworthollow/replica/retained_keys.py
+++ b/packages/ragworthollow/src/ragworthollow/replica/retained_keys.py
@@ -1,4 +1,4 @@
-"""Keep what was known before the store was restored from a copy."""
+"""Retain keys that the store lost when it was restored from a backup."""
 
 from collections.abc import Callable, Collection, Iterator, Mapping
 from dataclasses import dataclass
@@ -7,40 +7,44 @@
 from ragworthollow.platform.stored import Stored
 from ragworthollow.replica.store_news import RetainedKey
 
-# Tells of a key whether a value that was held is newer than the store's.
+# Called with a key, the retained value and the store's value; returns whether
+# the retained value is newer.
 IsNewer = Callable[[str, str, str], bool]
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
-class _Retained:
-    """Hold a value, None for a removed key, and until when it is kept."""
+class _RetainedValue:
+    """Hold a value, None for a removed key, and when it expires."""
 
     stored: Stored | None
-    until_ms: float
+    expires_ms: float
 
 
 class RetainedKeys:
     """
-    Let what was in force hold until it is written again.
+    Keep lost changes in effect until they are written again.
 
-    A store that is restored has lost the last seconds of what it had
-    accepted.  Those who wrote it write it again, after a while.  Until then a
-    change that was accepted must not be undone: a key that was revoked would
-    be taken again, and an instance that leaves would get work.
+    A store that is restored from a backup has lost the last seconds of
+    accepted changes.  Their writers write them again after a while.  Until
+    then an accepted change must not be undone: otherwise a revoked key would
+    be accepted again, and an instance that is leaving would get work.
 
-    What is held is kept for each key until the store shows that it was
-    written again, and for a bounded time, since it may not be.  A value that
-    tells by itself that it is newer than the store's is kept until the store
-    has caught up.
+    Each value is retained until the store shows that its key was written
+    again, and for a limited time in case it never is.  A value that is
+    newer than the store's by its own content is retained until the store has
+    caught up.
 
     Parameters
     ----------
     is_newer : callable
-        Tells by key and both values whether the held one is newer.
+        Called with a key, its retained value and the store's value; returns
+        whether the retained one is newer.
     may_outlive : callable
-        Tells whether a key that the store has lost is kept.
+        Called with a key; returns whether it is retained if the store has
+        lost it.
     may_stay_removed : callable
-        Tells whether a removed key that the store has again is left out.
+        Called with a removed key; returns whether it stays removed if it has
+        reappeared in the store.
     """
 
     def __init__(
@@ -53,7 +57,7 @@
         self._is_newer = is_newer
         self._may_outlive = may_outlive
         self._may_stay_removed = may_stay_removed
-        self._kept: dict[str, _Retained] = {}
+        self._retained: dict[str, _RetainedValue] = {}
 
     def begin(
         self,
@@ -63,129 +67,137 @@
         now_ms: float,
     ) -> None:
         """
-        Compare what was held with what the restored store holds.
+        Select the keys to retain by comparison with the restored store.
 
         Parameters
         ----------
         held : mapping of str to Stored
-            What was in force.
+            Entries in effect before the restore.
         removed : mapping of str to int
-            Revision at which keys were removed, as far as is known.
+            Revision of each removal that is still remembered, by key.
         found : mapping of str to Stored
-            What the store holds now.
+            Entries of the restored store.
         now_ms : float
             Time on the clock that counts suspended time.
         """
-        until_ms = now_ms + global_settings.RESTORED_RETENTION_MS
+        expires_ms = now_ms + global_settings.RESTORED_RETENTION_MS
         lost = {
-            key: _Retained(stored=stored, until_ms=until_ms)
+            key: _RetainedValue(stored=stored, expires_ms=expires_ms)
             for key, stored in held.items()
             if key not in found and self._may_outlive(key)
         }
-        ahead = {
-            key: _Retained(stored=held[key], until_ms=float('inf'))
+        newer = {
+            key: _RetainedValue(stored=held[key], expires_ms=float('inf'))
             for key in held.keys() & found.keys()
             if self._is_newer(key, held[key].text, found[key].text)
         }
-        again = {
-            key: _Retained(stored=None, until_ms=until_ms)
+        reappeared = {
+            key: _RetainedValue(stored=None, expires_ms=expires_ms)
             for key in (removed.keys() & found.keys()) - held.keys()
-            # One that was written after its removal was written again.
+            # A higher revision means a new write after the removal.
             if found[key].mod_revision < removed[key]
             and self._may_stay_removed(key)
         }
-        self._kept = {**lost, **ahead, **again}
+        self._retained = {**lost, **newer, **reappeared}
 
     def note_written(
         self,
         keys: Collection[str],
         found: Mapping[str, Stored],
     ) -> None:
-        """Let go of keys that were written or removed since the restoration."""
-        for key in keys & self._kept.keys():
-            held = self._kept[key].stored
-            is_ahead = (
-                held is not None
+        """Discard keys that were written or removed since the restore."""
+        for key in keys & self._retained.keys():
+            stored = self._retained[key].stored
+            is_newer = (
+                stored is not None
                 and key in found
-                and self._is_newer(key, held.text, found[key].text)
+                and self._is_newer(key, stored.text, found[key].text)
             )
-            if not is_ahead:
-                self._kept.pop(key)
+            if not is_newer:
+                self._retained.pop(key)
 
     def merge(
         self,
         found: Mapping[str, Stored],
         now_ms: float,
     ) -> Mapping[str, Stored]:
-        """Return what is in force, where the store holds `found`."""
-        self._kept = {
-            key: one for key, one in self._kept.items() if one.until_ms > now_ms
+        """Return the store's entries overlaid with the retained keys."""
+        self._retained = {
+            key: retained
+            for key, retained in self._retained.items()
+            if retained.expires_ms > now_ms
         }
-        if not self._kept:
+        if not self._retained:
             return found
         merged = dict(found)
-        for key, one in self._kept.items():
+        for key, retained in self._retained.items():
             merged.pop(key, None)
-            if one.stored is not None:
-                merged[key] = one.stored
+            if retained.stored is not None:
+                merged[key] = retained.stored
         return merged
 
     def adopt(
         self,
-        told: Collection[RetainedKey],
+        received: Collection[RetainedKey],
         found: Mapping[str, Stored],
         now_ms: float,
     ) -> bool:
         """
-        Take what another gateway retains, and tell whether any of it is new.
+        Add the keys that a peer retains; return whether any of them is new.
 
         Parameters
         ----------
-        told : collection of RetainedKey
-            What it retains.
+        received : collection of RetainedKey
+            Keys that the peer retains.
         found : mapping of str to Stored
-            What the store holds.
+            Entries of the store.
         now_ms : float
             Time on the clock that counts suspended time.
         """
-        taken = dict(self._choose(told, found, now_ms))
-        self._kept.update(taken)
-        return bool(taken)
+        added = dict(self._select_new(received, found, now_ms))
+        self._retained.update(added)
+        return bool(added)
 
     def tell(self, now_ms: float) -> tuple[RetainedKey, ...]:
-        """Return what is retained, for another gateway."""
-        longest_ms = global_settings.RESTORED_RETENTION_MS
+        """Return the retained keys as sent to a peer."""
+        max_left_ms = global_settings.RESTORED_RETENTION_MS
         return tuple(
             RetainedKey(
                 key=key,
-                text=None if one.stored is None else one.stored.text,
-                left_ms=min(one.until_ms - now_ms, longest_ms),
+                text=None if retained.stored is None else retained.stored.text,
+                left_ms=min(retained.expires_ms - now_ms, max_left_ms),
             )
-            for key, one in self._kept.items()
+            for key, retained in self._retained.items()
         )
 
     def count(self) -> int:
-        """Return the number of keys that are retained."""
-        return len(self._kept)
+        """Return the number of retained keys."""
+        return len(self._retained)
 
-    def _choose(
+    def _select_new(
         self,
-        told: Collection[RetainedKey],
+        received: Collection[RetainedKey],
         found: Mapping[str, Stored],
         now_ms: float,
-    ) -> Iterator[tuple[str, _Retained]]:
-        for one in told:
-            until_ms = now_ms + one.left_ms
-            held = self.merge(found, now_ms).get(one.key)
-            if one.text is None:
-                if held is not None:
-                    yield one.key, _Retained(stored=None, until_ms=until_ms)
-            elif held is None:
-                stored = Stored(text=one.text)
-                yield one.key, _Retained(stored=stored, until_ms=until_ms)
-            elif self._is_newer(one.key, one.text, held.text):
-                stored = Stored(text=one.text)
+    ) -> Iterator[tuple[str, _RetainedValue]]:
+        for entry in received:
+            expires_ms = now_ms + entry.left_ms
+            current = self.merge(found, now_ms).get(entry.key)
+            if entry.text is None:
+                if current is not None:
+                    yield (
+                        entry.key,
+                        _RetainedValue(stored=None, expires_ms=expires_ms),
+                    )
+            elif current is None:
+                stored = Stored(text=entry.text)
                 yield (
-                    one.key,
-                    _Retained(stored=stored, until_ms=float('inf')),
+                    entry.key,
+                    _RetainedValue(stored=stored, expires_ms=expires_ms),
+                )
+            elif self._is_newer(entry.key, entry.text, current.text):
+                stored = Stored(text=entry.text)
+                yield (
+                    entry.key,
+                    _RetainedValue(stored=stored, expires_ms=float('inf')),
                 )
--- a/packages/ragworthollow/src/ragworthollow/replica/store_news.py
+++ b/packages/ragworthollow/src/ragworthollow/replica/store_news.py
@@ -1,4 +1,4 @@
-"""Define what one gateway tells another of the store."""
+"""Define the messages in which gateways exchange updates of the store."""
 
 from ragworthollow.platform.store_position import StorePosition
 from ragworthollow.utils.message import Message
@@ -6,7 +6,7 @@
 
 class NewsKey(Message):
     """
-    Tell of a key that was written.
+    Describe a key that was written.
 
     Attributes
     ----------
@@ -15,7 +15,7 @@
     text : str
         Its value.
     revision, created : int
-        Of its last change and its creation.
+        Revisions of its last change and of its creation.
     """
 
     key: str
@@ -26,16 +26,17 @@
 
 class RetainedKey(Message):
     """
-    Tell of a key that holds although the store has lost it.
+    Describe a key that stays in effect although the store has lost it.
 
     Attributes
     ----------
     key : str
         The key.
     text : str or None
-        Its value; None for one that was removed.
+        Its value; None for a key that was removed.
     left_ms : float
-        For how long it holds unless it is written again.
+        Remaining time, in milliseconds, for which it stays in effect unless
+        it is written again.
     """
 
     key: str
@@ -45,18 +46,18 @@
 
 class StoreNews(Message):
     """
-    Tell what was the newest state of the store, and how long ago.
+    Carry the latest known state of the store, and its age.
 
     Attributes
     ----------
     revision : int
-        Revision up to which the teller knows everything.
+        Revision up to which the sender knows all changes.
     age_ms : float
-        How long ago the store held nothing newer.
+        Time, in milliseconds, since this state was known to be up to date.
     is_complete : bool
-        Whether the changes lead from the revision that was asked about to
-        `revision`.  Large ones are left out where many ask: they come from
-        the store, whose link is wider.
+        Whether the changes lead from the requested revision to `revision`.
+        Large changes are left out of responses that many peers request:
+        receivers get them from the store, whose link is wider.
     is_snapshot : bool
         Whether `written` holds all keys.
     written : tuple of NewsKey
@@ -64,10 +65,10 @@
     removed : dict of str to int
         Revision at which a key was removed, by key.
     timeline : int
-        How often the store had been restored.
+        Number of times that the store had been restored.
     retained : tuple of RetainedKey
-        Keys that hold although the store has lost what was written to them;
-        told to those that ask for everything.
+        Keys that stay in effect although the store has lost what was written
+        to them; sent in responses to update requests, not to pings.
     """
 
     revision: int
@@ -80,27 +81,27 @@
     retained: tuple[RetainedKey, ...] = ()
 
     def get_position(self) -> StorePosition:
-        """Return the position up to which the teller knows everything."""
+        """Return the position up to which the sender knows all changes."""
         return StorePosition(timeline=self.timeline, revision=self.revision)
 
 
 class NewsQuestion(Message):
     """
-    Ask for everything that changed after a revision.
+    Request all changes after a revision.
 
     Attributes
     ----------
     after_revision : int
-        Up to which the asker knows everything; 0 for nothing.
+        Revision up to which the requester knows all changes; 0 for none.
     timeline : int
-        How often the store had been restored by then.
+        Number of times that the store had been restored at that revision.
     """
 
     after_revision: int = 0
     timeline: int = 0
 
     def get_position(self) -> StorePosition:
-        """Return the position up to which the asker knows everything."""
+        """Return the position up to which the requester knows all changes."""
         return StorePosition(
             timeline=self.timeline,
             revision=self.after_revision,
--- a/packages/ragworthollow/src/ragworthollow/replica/store_view.py
+++ b/packages/ragworthollow/src/ragworthollow/replica/store_view.py
@@ -1,4 +1,4 @@
-"""Keep a copy of the store's keys."""
+"""Keep a local copy of the store's keys."""
 
 from collections.abc import Mapping
 from operator import itemgetter
@@ -12,61 +12,62 @@
 
 class StoreView:
     """
-    Hold all keys as they were at a revision of the store.
+    Hold all keys as they were at one revision of the store.
 
     Attributes
     ----------
     found : mapping of str to Stored
-        All keys.
+        All entries by key.
     revision : int
-        Changes after it are not in the copy yet; 0 before the first snapshot.
+        Revision up to which changes have been applied; 0 before the first
+        snapshot.
     timeline : int
-        How often the store had been restored.
+        Number of times that the store had been restored.
     size_bytes : int
-        Size of the last snapshot as it was sent.
+        Size of the last snapshot as transferred.
     """
 
     def __init__(self) -> None:
         self._found: dict[str, Stored] = {}
-        # Removed keys by the revision of their removal, for those that ask
-        # what has changed; complete after `_removed_from`.
+        # Revision of removal by key, to report removals to peers; complete
+        # for revisions after `_removals_known_after`.
         self._removed: dict[str, int] = {}
-        self._removed_from = 0
+        self._removals_known_after = 0
         self.revision = 0
         self.timeline = 0
         self.size_bytes = 0
 
     @property
     def found(self) -> Mapping[str, Stored]:
-        """Return all keys."""
+        """Return all entries by key."""
         return self._found
 
     def get_position(self) -> StorePosition:
-        """Return the position of the state that is held."""
+        """Return the position of this copy."""
         return StorePosition(timeline=self.timeline, revision=self.revision)
 
     def get_removed(self) -> Mapping[str, int]:
-        """Return at which revision keys were removed, as far as is known."""
+        """Return the revision of each removal that is still remembered."""
         return self._removed
 
     def replace(self, snapshot: StoreSnapshot) -> None:
         """
-        Take all keys anew.
+        Replace the copy with a snapshot, unless the snapshot is older.
 
-        A read of everything takes a while, in which another gateway may have
-        told of something newer; the older state does not replace it.
+        While a full read is in progress, a peer may have sent a newer state,
+        which the result of that read must not overwrite.
         """
         if snapshot.get_position() < self.get_position():
             return
         if snapshot.timeline != self.timeline:
-            # Revisions of before say nothing in this timeline.
+            # Revisions are not comparable across timelines.
             self._removed = {}
-            self._removed_from = snapshot.revision
+            self._removals_known_after = snapshot.revision
         elif self.revision:
-            gone = self._found.keys() - snapshot.found.keys()
-            self._note_removed(dict.fromkeys(gone, snapshot.revision))
+            missing = self._found.keys() - snapshot.found.keys()
+            self._record_removed(dict.fromkeys(missing, snapshot.revision))
         else:
-            self._removed_from = snapshot.revision
+            self._removals_known_after = snapshot.revision
         self._found = dict(snapshot.found)
         self.revision = snapshot.revision
         self.timeline = snapshot.timeline
@@ -74,18 +75,18 @@
 
     def apply(self, changes: StoreChanges) -> None:
         """
-        Take what has changed.
+        Apply changes, except those that the copy already contains.
 
-        The pages of a snapshot are read one after the other, so that a change
-        may be in it already; an older one never replaces a newer one.  What
-        another gateway tells may have been overtaken by the store's own
-        answer: a key that was removed meanwhile must not come back.
+        The pages of a snapshot are read one after the other, so the snapshot
+        may already include a later change; an older value never replaces a
+        newer one.  An update from a peer may arrive after a newer response of
+        the store: a key that was removed in between must not reappear.
 
         Parameters
         ----------
         changes : StoreChanges
-            Everything after `revision`, or after an earlier one, of the same
-            timeline; others are not taken.
+            All changes after `revision` or an earlier revision.  Changes of
+            another timeline are ignored.
         """
         if changes.timeline != self.timeline:
             return
@@ -102,25 +103,26 @@
         }
         for key in removed:
             self._found.pop(key, None)
-        self._note_removed(removed)
+        self._record_removed(removed)
         self.revision = max(self.revision, changes.revision)
 
     def find_changes(self, after: StorePosition) -> StoreChanges | None:
         """
-        Return what has changed after a position.
+        Return all changes after a position.
 
         Returns
         -------
         StoreChanges or None
-            None where removals that far back are no longer known, and for
-            another timeline.
+            None if removals that far back are no longer remembered, or if the
+            position belongs to another timeline.
         """
         after_revision = after.revision
         if after.timeline != self.timeline:
             return None
-        if after_revision < self._removed_from:
+        if after_revision < self._removals_known_after:
             return None
-        # Most that ask know everything; hundreds ask several times a second.
+        # Fast path: most of the hundreds of peers that ask, several times a
+        # second, are up to date.
         if after_revision >= self.revision:
             return StoreChanges(
                 written={},
@@ -145,16 +147,16 @@
             timeline=self.timeline,
         )
 
-    def _note_removed(self, removed: Mapping[str, int]) -> None:
+    def _record_removed(self, removed: Mapping[str, int]) -> None:
         self._removed.update(removed)
         excess = len(self._removed) - global_settings.REMOVED_KEYS_KEPT
         if excess <= 0:
             return
-        by_age = sorted(self._removed.items(), key=itemgetter(1))
-        self._removed_from = by_age[excess - 1][1]
-        self._removed = dict(by_age[excess:])
+        by_revision = sorted(self._removed.items(), key=itemgetter(1))
+        self._removals_known_after = by_revision[excess - 1][1]
+        self._removed = dict(by_revision[excess:])
 
     def _is_new(self, key: str, revision: int) -> bool:
-        """Tell whether a change of a key is not in the copy yet."""
-        held = self._found.get(key, Stored()).mod_revision
-        return revision > max(self.revision, held)
+        """Return whether a change of a key is missing from the copy."""
+        known_revision = self._found.get(key, Stored()).mod_revision
+        return revision > max(self.revision, known_revision)
