--- a/packages/ragworthollow-daemon/src/ragworthollow_daemon/gateway/configuration_follower.py
+++ b/packages/ragworthollow-daemon/src/ragworthollow_daemon/gateway/configuration_follower.py
@@ -1,4 +1,4 @@
-"""Keep the latest route table in effect."""
+"""Keep the latest configuration active."""
 
 from collections.abc import Mapping
 
--- a/packages/ragworthollow-daemon/src/ragworthollow_daemon/gateway/context.py
+++ b/packages/ragworthollow-daemon/src/ragworthollow_daemon/gateway/context.py
@@ -131,7 +131,7 @@
             self.book.note_failure(instance.instance, get_monotonic_ms())
 
     def put_table(self, table: RouteTable) -> None:
-        """Put a route table into effect."""
+        """Activate a route table."""
         self.table = table
         self._table_came.set()
         if not self._quarantine.has_asked:
--- a/packages/ragworthollow-daemon/src/ragworthollow_daemon/gateway/status_routes.py
+++ b/packages/ragworthollow-daemon/src/ragworthollow_daemon/gateway/status_routes.py
@@ -29,7 +29,7 @@
     instance, incarnation : str
         Name of the gateway, and identifier of its process.
     version : int or None
-        Version of the configuration in effect.
+        Version of the active configuration.
     list_age_ms : int or None
         Age of the list of instances, in milliseconds.
     members : int
@@ -41,8 +41,8 @@
     instances : dict
         Names of the instances that may get work, by pool.
     waits_ms : dict
-        Expected waits of pools with gates, in milliseconds, for the most
-        urgent requests.
+        Expected waits of pools that have a scheduler, in milliseconds, for
+        the most urgent requests.
     store_calls : int
         Number of calls to the store since the start.
     violations : int
@@ -71,7 +71,7 @@
     context : GatewayContext
         Shared state of this gateway.
     pieces : PieceClient
-        Provides the expected waits of gates.
+        Provides the expected waits of pools.
     """
 
     def __init__(
@@ -121,7 +121,11 @@
         context = self._context
         table = context.table
         pools = table.pools if table else {}
-        gated_pools = [pool.name for pool in pools.values() if pool.pieces]
+        scheduled_pools = [
+            pool_config.name
+            for pool_config in pools.values()
+            if pool_config.pieces
+        ]
         return respond(
             GatewayStatus(
                 instance=context.settings.instance,
@@ -132,7 +136,7 @@
                 draining=context.drain.is_draining,
                 in_flight=context.drain.in_flight,
                 instances={pool: self._list_instances(pool) for pool in pools},
-                waits_ms=self._pieces.get_waits_ms(gated_pools, 0),
+                waits_ms=self._pieces.get_waits_ms(scheduled_pools, 0),
                 store_calls=context.store.calls,
                 violations=context.monitor.violations,
             ),
--- a/packages/ragworthollow-daemon/src/ragworthollow_daemon/gateway/store_reports.py
+++ b/packages/ragworthollow-daemon/src/ragworthollow_daemon/gateway/store_reports.py
@@ -88,10 +88,7 @@
         return PlatformError(
             step=_STEP,
             peer=_PEER,
-            detail=(
-                f'read a state of timeline {snapshot.timeline}, but timeline '
-                f'{known} is already known'
-            ),
+            detail=f'read timeline {snapshot.timeline}, peers reported {known}',
             may_have_applied=False,
         )
 
--- a/packages/ragworthollow/src/ragworthollow/replica/follow_paces.py
+++ b/packages/ragworthollow/src/ragworthollow/replica/follow_paces.py
@@ -58,7 +58,7 @@
     Parameters
     ----------
     bound_ms : float
-        Maximum time from the acceptance of a change until it takes effect.
+        Maximum time from the acceptance of a change until it is active.
     heartbeat_ms : float
         Interval at which instances renew their entries.
     """
--- a/packages/ragworthollow/src/ragworthollow/replica/replica.py
+++ b/packages/ragworthollow/src/ragworthollow/replica/replica.py
@@ -63,7 +63,7 @@
         )
 
     def get_found(self, now_ms: float) -> Mapping[str, Stored]:
-        """Return the entries in effect: the copy plus the retained keys."""
+        """Return the active entries: the copy plus the retained keys."""
         return self._retained.merge(self.view.found, now_ms)
 
     def count_retained(self) -> int:
--- a/packages/ragworthollow/src/ragworthollow/replica/retained_keys.py
+++ b/packages/ragworthollow/src/ragworthollow/replica/retained_keys.py
@@ -22,7 +22,7 @@
 
 class RetainedKeys:
     """
-    Keep lost changes in effect until they are written again.
+    Keep lost changes active until they are written again.
 
     A store that is restored from a backup has lost the last seconds of
     accepted changes.  Their writers write them again after a while.  Until
@@ -72,7 +72,7 @@
         Parameters
         ----------
         held : mapping of str to Stored
-            Entries in effect before the restore.
+            Entries that were active before the restore.
         removed : mapping of str to int
             Revision of each removal that is still remembered, by key.
         found : mapping of str to Stored
--- a/packages/ragworthollow/src/ragworthollow/replica/store_news.py
+++ b/packages/ragworthollow/src/ragworthollow/replica/store_news.py
@@ -26,7 +26,7 @@
 
 class RetainedKey(Message):
     """
-    Describe a key that stays in effect although the store has lost it.
+    Describe a key that stays active although the store has lost it.
 
     Attributes
     ----------
@@ -35,8 +35,8 @@
     text : str or None
         Its value; None for a key that was removed.
     left_ms : float
-        Remaining time, in milliseconds, for which it stays in effect unless
-        it is written again.
+        Remaining time, in milliseconds, for which it stays active unless it
+        is written again.
     """
 
     key: str
@@ -67,7 +67,7 @@
     timeline : int
         Number of times that the store had been restored.
     retained : tuple of RetainedKey
-        Keys that stay in effect although the store has lost what was written
+        Keys that stay active although the store has lost what was written
         to them; sent in responses to update requests, not to pings.
     """
 
