--- a/packages/ragworthollow-daemon/src/ragworthollow_daemon/gateway/configuration_follower.py
+++ b/packages/ragworthollow-daemon/src/ragworthollow_daemon/gateway/configuration_subscriber.py
@@ -15,7 +15,7 @@
 _STEP = 'configuration'
 
 
-class ConfigurationFollower:
+class ConfigurationSubscriber:
     """
     Apply the configuration from each read of the store, never an older one.
 
--- a/packages/ragworthollow-daemon/src/ragworthollow_daemon/gateway/context.py
+++ b/packages/ragworthollow-daemon/src/ragworthollow_daemon/gateway/context.py
@@ -25,7 +25,7 @@
 from ragworthollow.utils import get_monotonic_ms, make_identifier
 from ragworthollow_daemon.drain import DrainState
 from ragworthollow_daemon.gateway.quarantine import Quarantine
-from ragworthollow_daemon.gateway.stop_state import StopState
+from ragworthollow_daemon.gateway.shutdown_state import ShutdownState
 
 
 def _send_sigterm() -> None:
@@ -58,7 +58,7 @@
         self.metrics = Metrics()
         self.monitor = InvariantMonitor(metrics=self.metrics)
         self.drain = DrainState()
-        self.stop = StopState()
+        self.stop = ShutdownState()
         self.rng = random.Random(self.incarnation)  # noqa: S311
         self.session = make_plain_session()
         self.upstream_session = make_upstream_session()
--- a/packages/ragworthollow-daemon/src/ragworthollow_daemon/gateway/peer_routes.py
+++ b/packages/ragworthollow-daemon/src/ragworthollow_daemon/gateway/peer_routes.py
@@ -8,7 +8,7 @@
 from ragworthollow.membership.gateway_member import GatewayMember
 from ragworthollow.membership.gateway_members import GatewayMembers
 from ragworthollow.platform.store_position import StorePosition
-from ragworthollow.replica import NewsQuestion, encode_news
+from ragworthollow.replica import UpdateRequest, encode_update
 from ragworthollow.transport.host_messages import (
     CHANGE_PATH,
     PING_PATH,
@@ -38,13 +38,13 @@
     hear_limits,
     tell_limits,
 )
-from ragworthollow_daemon.gateway.news_client import NEWS_PATH
 from ragworthollow_daemon.gateway.piece_exchange import (
     FREE_PATH,
     RUN_PATH,
     tell_released,
 )
 from ragworthollow_daemon.gateway.piece_service import PieceService
+from ragworthollow_daemon.gateway.update_client import UPDATE_PATH
 
 _BAD_REQUEST = 400
 
@@ -83,15 +83,15 @@
         application = web.Application(
             client_max_size=global_settings.MAX_BODY_BYTES,
         )
-        application.router.add_post(PING_PATH, self.answer_ping)
-        application.router.add_post(CHANGE_PATH, self.learn_change)
-        application.router.add_post(NEWS_PATH, self.tell_news)
+        application.router.add_post(PING_PATH, self.handle_ping)
+        application.router.add_post(CHANGE_PATH, self.apply_member_change)
+        application.router.add_post(UPDATE_PATH, self.send_update)
         application.router.add_post(RUN_PATH, self.run_pieces)
-        application.router.add_post(FREE_PATH, self.free_results)
-        application.router.add_post(TRANSFER_PATH, self.take_gate)
+        application.router.add_post(FREE_PATH, self.release_results)
+        application.router.add_post(TRANSFER_PATH, self.apply_transfer)
         return application
 
-    async def answer_ping(self, request: web.Request) -> web.Response:
+    async def handle_ping(self, request: web.Request) -> web.Response:
         """Report the state of this gateway, and store that of the sender."""
         body = await request.read()
         try:
@@ -133,11 +133,11 @@
             ),
         )
 
-    async def tell_news(self, request: web.Request) -> web.Response:
+    async def send_update(self, request: web.Request) -> web.Response:
         """Send an update of the store to a gateway that cannot read it."""
         body = await request.read()
         try:
-            question = msgspec.json.decode(body, type=NewsQuestion)
+            question = msgspec.json.decode(body, type=UpdateRequest)
         except msgspec.DecodeError as error:
             return respond(Problem(error=str(error)), status=_BAD_REQUEST)
         self._context.metrics.count_event('store_news_told')
@@ -147,9 +147,9 @@
             longest_bytes=float('inf'),
             may_be_snapshot=True,
         )
-        return web.Response(body=encode_news(news))
+        return web.Response(body=encode_update(news))
 
-    async def learn_change(self, request: web.Request) -> web.Response:
+    async def apply_member_change(self, request: web.Request) -> web.Response:
         """Apply a gateway's announcement that it joins or leaves."""
         body = await request.read()
         try:
@@ -182,7 +182,7 @@
             found = await self._service.run(order.pool, pieces)
         return respond(encode_results(found))
 
-    async def free_results(self, request: web.Request) -> web.Response:
+    async def release_results(self, request: web.Request) -> web.Response:
         """
         Release results through the gate that accounts for their space.
 
@@ -211,7 +211,7 @@
         if not await tell_released(self._context, host, forwarded):
             self._service.free(release.pool, release.handles)
 
-    async def take_gate(self, request: web.Request) -> web.Response:
+    async def apply_transfer(self, request: web.Request) -> web.Response:
         """Take over a gate's state from its previous host."""
         body = await request.read()
         try:
--- a/packages/ragworthollow-daemon/src/ragworthollow_daemon/gateway/poll_pace.py
+++ b/packages/ragworthollow-daemon/src/ragworthollow_daemon/gateway/retry_delay.py
@@ -5,7 +5,7 @@
 _MAX_DOUBLINGS = 8
 
 
-def get_retry_ms(failures: int, max_ms: float) -> float:
+def get_retry_delay_ms(failures: int, max_ms: float) -> float:
     """
     Return the delay before a failed call is retried, in milliseconds.
 
--- a/packages/ragworthollow-daemon/src/ragworthollow_daemon/gateway/role.py
+++ b/packages/ragworthollow-daemon/src/ragworthollow_daemon/gateway/role.py
@@ -9,14 +9,10 @@
 from ragworthollow.membership.gateway_members import GatewayMembers
 from ragworthollow.transport.limited_server import LimitedServer
 from ragworthollow.utils import get_boottime_ms, get_monotonic_ms
-from ragworthollow_daemon.gateway.configuration_follower import (
-    ConfigurationFollower,
+from ragworthollow_daemon.gateway.configuration_subscriber import (
+    ConfigurationSubscriber,
 )
 from ragworthollow_daemon.gateway.context import GatewayContext
-from ragworthollow_daemon.gateway.following import (
-    make_host_pings,
-    make_store_follower,
-)
 from ragworthollow_daemon.gateway.front import Front
 from ragworthollow_daemon.gateway.gate_handover import GateHandover
 from ragworthollow_daemon.gateway.instances_follower import InstancesFollower
@@ -29,6 +25,10 @@
 )
 from ragworthollow_daemon.gateway.readiness import Readiness
 from ragworthollow_daemon.gateway.status_routes import StatusRoutes
+from ragworthollow_daemon.gateway.store_poller_factory import (
+    make_host_pinger,
+    make_store_poller,
+)
 
 # The drain has already waited for requests; only idle connections remain.
 _SHUTDOWN_S = 0.1
@@ -67,7 +67,7 @@
             gates=self.service.get_gates(),
         )
         self._records = QuarantineRecords(context=self.context)
-        self._follower = make_store_follower(
+        self._follower = make_store_poller(
             context=self.context,
             members=self.members,
             followers=(
@@ -78,10 +78,10 @@
                 ),
                 self.membership,
                 self._records,
-                ConfigurationFollower(context=self.context),
+                ConfigurationSubscriber(context=self.context),
             ),
         )
-        self._pings = make_host_pings(
+        self._pings = make_host_pinger(
             context=self.context,
             members=self.members,
             announced=self.service.get_gates().announced,
--- a/packages/ragworthollow-daemon/src/ragworthollow_daemon/gateway/stop_state.py
+++ b/packages/ragworthollow-daemon/src/ragworthollow_daemon/gateway/shutdown_state.py
@@ -16,7 +16,7 @@
     return True
 
 
-class StopState:
+class ShutdownState:
     """
     Track the shutdown deadline of the process.
 
--- a/packages/ragworthollow-daemon/src/ragworthollow_daemon/gateway/status_routes.py
+++ b/packages/ragworthollow-daemon/src/ragworthollow_daemon/gateway/status_routes.py
@@ -88,7 +88,7 @@
         application = web.Application()
         application.router.add_get('/metrics', self.get_metrics)
         application.router.add_get('/status', self.get_status)
-        application.router.add_get(INSTANCES_PATH, self.show_instances)
+        application.router.add_get(INSTANCES_PATH, self.get_instances)
         application.router.add_get(QUARANTINE_PATH, self.list_quarantined)
         application.router.add_post(RELEASE_PATH, self.release)
         return application
@@ -142,7 +142,7 @@
             ),
         )
 
-    async def show_instances(self, _request: web.Request) -> web.Response:
+    async def get_instances(self, _request: web.Request) -> web.Response:
         """Return drained failure domains and throttled instances as JSON."""
         return respond(describe_instances(self._context))
 
--- a/packages/ragworthollow-daemon/src/ragworthollow_daemon/gateway/store_follower.py
+++ b/packages/ragworthollow-daemon/src/ragworthollow_daemon/gateway/store_follower.py
@@ -15,8 +15,8 @@
 from ragworthollow.utils import get_boottime_ms, get_monotonic_ms
 from ragworthollow_daemon.gateway.context import GatewayContext
 from ragworthollow_daemon.gateway.heard_news import HeardNews
-from ragworthollow_daemon.gateway.poll_pace import get_retry_ms
-from ragworthollow_daemon.gateway.store_reports import StoreReports
+from ragworthollow_daemon.gateway.retry_delay import get_retry_delay_ms
+from ragworthollow_daemon.gateway.store_reporter import StoreReporter
 
 AskPeers = Callable[[StorePosition], Awaitable[Sequence[HeardNews]]]
 _ALL_KEYS = ''
@@ -99,7 +99,7 @@
         self._next_full_read_ms = float('-inf')
         self._last_full_read_ms = float('-inf')
         self._last_notified_ms = float('-inf')
-        self._reporter = StoreReports(
+        self._reporter = StoreReporter(
             metrics=context.metrics,
             replica=replica,
         )
@@ -112,7 +112,7 @@
         failures = 0
         while True:
             if failures:
-                pause_ms = get_retry_ms(
+                pause_ms = get_retry_delay_ms(
                     failures,
                     self._paces.max_retry_ms,
                 )
--- a/packages/ragworthollow-daemon/src/ragworthollow_daemon/gateway/following.py
+++ b/packages/ragworthollow-daemon/src/ragworthollow_daemon/gateway/store_poller_factory.py
@@ -8,11 +8,11 @@
 from ragworthollow.replica import derive_paces
 from ragworthollow_daemon.gateway.context import GatewayContext
 from ragworthollow_daemon.gateway.host_pings import HostPings
-from ragworthollow_daemon.gateway.news_client import NewsClient
 from ragworthollow_daemon.gateway.store_follower import Follower, StoreFollower
+from ragworthollow_daemon.gateway.update_client import UpdateClient
 
 
-def make_store_follower(
+def make_store_poller(
     *,
     context: GatewayContext,
     members: GatewayMembers,
@@ -31,7 +31,7 @@
         Followers, in the order in which they are notified.
     """
     settings = context.settings
-    peers = NewsClient(context=context, members=members)
+    update_client = UpdateClient(context=context, members=members)
     return StoreFollower(
         context=context,
         followers=followers,
@@ -41,12 +41,12 @@
             heartbeat_ms=settings.instance_heartbeat_ms,
         ),
         get_place=members.get_reader_place,
-        ask_peers=peers.ask,
+        ask_peers=update_client.request_updates,
         spread=context.rng.uniform(0, global_settings.TRUST_SPREAD),
     )
 
 
-def make_host_pings(
+def make_host_pinger(
     *,
     context: GatewayContext,
     members: GatewayMembers,
--- a/packages/ragworthollow-daemon/src/ragworthollow_daemon/gateway/store_reports.py
+++ b/packages/ragworthollow-daemon/src/ragworthollow_daemon/gateway/store_reporter.py
@@ -14,7 +14,7 @@
 _PEER = 'store'
 
 
-class StoreReports:
+class StoreReporter:
     """
     Report to operators how well a gateway keeps up with the store.
 
--- a/packages/ragworthollow-daemon/src/ragworthollow_daemon/gateway/news_client.py
+++ b/packages/ragworthollow-daemon/src/ragworthollow_daemon/gateway/update_client.py
@@ -12,17 +12,17 @@
 from ragworthollow.membership.gateway_member import GatewayMember
 from ragworthollow.membership.gateway_members import GatewayMembers
 from ragworthollow.platform.store_position import StorePosition
-from ragworthollow.replica import NewsQuestion, decode_news
+from ragworthollow.replica import UpdateRequest, decode_update
 from ragworthollow.transport.timeouts import make_timeout
 from ragworthollow.utils import get_boottime_ms
 from ragworthollow_daemon.gateway.context import GatewayContext
 from ragworthollow_daemon.gateway.heard_news import HeardNews
 
-NEWS_PATH = '/v1/store/news'
+UPDATE_PATH = '/v1/store/news'
 _STEP = 'store_news'
 
 
-class NewsClient:
+class UpdateClient:
     """
     Request updates from a few peers while the store does not answer.
 
@@ -46,7 +46,9 @@
         self._context = context
         self._members = members
 
-    async def ask(self, after: StorePosition) -> Sequence[HeardNews]:
+    async def request_updates(
+        self, after: StorePosition
+    ) -> Sequence[HeardNews]:
         """
         Request all changes after a position.
 
@@ -55,7 +57,7 @@
         after : StorePosition
             Position up to which this gateway knows all changes.
         """
-        request = NewsQuestion(
+        request = UpdateRequest(
             after_revision=after.revision,
             timeline=after.timeline,
         )
@@ -83,14 +85,14 @@
         asked_ms = get_boottime_ms()
         try:
             async with self._context.session.post(
-                f'http://{peer.peer_address}{NEWS_PATH}',
+                f'http://{peer.peer_address}{UPDATE_PATH}',
                 data=body,
                 timeout=make_timeout(
                     global_settings.STORE_TIMEOUT_MS,
                     global_settings.PEER_CONNECT_TIMEOUT_MS,
                 ),
             ) as response:
-                news = decode_news(await response.read())
+                news = decode_update(await response.read())
         except (TimeoutError, aiohttp.ClientError, OSError) as error:
             news = Err(repr(error))
         if isinstance(news, Err):
--- a/packages/ragworthollow/src/ragworthollow/replica/__init__.py
+++ b/packages/ragworthollow/src/ragworthollow/replica/__init__.py
@@ -2,27 +2,27 @@
 
 from ragworthollow.replica.evidence import Evidence
 from ragworthollow.replica.follow_paces import FollowPaces, derive_paces
-from ragworthollow.replica.news_codec import decode_news, encode_news
 from ragworthollow.replica.replica import NewsEffect, Replica
 from ragworthollow.replica.store_news import (
-    NewsKey,
-    NewsQuestion,
     RetainedKey,
     StoreNews,
+    UpdatedKey,
+    UpdateRequest,
 )
 from ragworthollow.replica.store_view import StoreView
+from ragworthollow.replica.update_codec import decode_update, encode_update
 
 __all__ = (
     'Evidence',
     'FollowPaces',
     'NewsEffect',
-    'NewsKey',
-    'NewsQuestion',
+    'UpdatedKey',
+    'UpdateRequest',
     'Replica',
     'RetainedKey',
     'StoreNews',
     'StoreView',
-    'decode_news',
+    'decode_update',
     'derive_paces',
-    'encode_news',
+    'encode_update',
 )
--- a/packages/ragworthollow/src/ragworthollow/replica/replica.py
+++ b/packages/ragworthollow/src/ragworthollow/replica/replica.py
@@ -16,7 +16,7 @@
 from ragworthollow.platform.stored import Stored
 from ragworthollow.replica.evidence import Evidence
 from ragworthollow.replica.retained_keys import RetainedKeys
-from ragworthollow.replica.store_news import NewsKey, StoreNews
+from ragworthollow.replica.store_news import StoreNews, UpdatedKey
 from ragworthollow.replica.store_view import StoreView
 
 
@@ -89,7 +89,7 @@
         is_first = not self.view.revision
         is_restored = snapshot.timeline > self.view.timeline
         if is_restored and not is_first:
-            self._retained.begin(
+            self._retained.start_retention(
                 self.get_found(now_ms),
                 self.view.get_removed(),
                 snapshot.found,
@@ -98,7 +98,7 @@
         before = self.view.found
         self.view.replace(snapshot)
         if not is_restored:
-            self._retained.note_written(
+            self._retained.discard_written(
                 _find_changed_keys(before, self.view.found),
                 self.view.found,
             )
@@ -109,7 +109,7 @@
         if changes.timeline != self.view.timeline:
             return False
         self.view.apply(changes)
-        self._retained.note_written(
+        self._retained.discard_written(
             changes.written.keys() | changes.removed.keys(),
             self.view.found,
         )
@@ -158,7 +158,9 @@
             revision=self.view.revision,
             age_ms=self.evidence.get_age_ms(now_ms),
             timeline=self.view.timeline,
-            retained=self._retained.tell(now_ms) if may_be_snapshot else (),
+            retained=self._retained.list_for_peer(now_ms)
+            if may_be_snapshot
+            else (),
         )
         if changes is None or _get_size(changes) > longest_bytes:
             return news
@@ -167,7 +169,7 @@
             is_complete=True,
             is_snapshot=is_snapshot,
             written=tuple(
-                NewsKey(
+                UpdatedKey(
                     key=key,
                     text=stored.text,
                     revision=stored.mod_revision,
@@ -213,7 +215,7 @@
             return NewsEffect(is_behind=True)
         if is_behind:
             self._apply(news, now_ms)
-        has_merged = self._retained.adopt(
+        has_merged = self._retained.add_from_peer(
             news.retained,
             self.view.found,
             now_ms,
--- a/packages/ragworthollow/src/ragworthollow/replica/retained_keys.py
+++ b/packages/ragworthollow/src/ragworthollow/replica/retained_keys.py
@@ -59,7 +59,7 @@
         self._may_stay_removed = may_stay_removed
         self._retained: dict[str, _RetainedValue] = {}
 
-    def begin(
+    def start_retention(
         self,
         held: Mapping[str, Stored],
         removed: Mapping[str, int],
@@ -100,7 +100,7 @@
         }
         self._retained = {**lost, **newer, **reappeared}
 
-    def note_written(
+    def discard_written(
         self,
         keys: Collection[str],
         found: Mapping[str, Stored],
@@ -136,7 +136,7 @@
                 merged[key] = retained.stored
         return merged
 
-    def adopt(
+    def add_from_peer(
         self,
         received: Collection[RetainedKey],
         found: Mapping[str, Stored],
@@ -158,7 +158,7 @@
         self._retained.update(added)
         return bool(added)
 
-    def tell(self, now_ms: float) -> tuple[RetainedKey, ...]:
+    def list_for_peer(self, now_ms: float) -> tuple[RetainedKey, ...]:
         """Return the retained keys as sent to a peer."""
         max_left_ms = global_settings.RESTORED_RETENTION_MS
         return tuple(
--- a/packages/ragworthollow/src/ragworthollow/replica/store_news.py
+++ b/packages/ragworthollow/src/ragworthollow/replica/store_news.py
@@ -4,7 +4,7 @@
 from ragworthollow.utils.message import Message
 
 
-class NewsKey(Message):
+class UpdatedKey(Message):
     """
     Describe a key that was written.
 
@@ -75,7 +75,7 @@
     age_ms: float
     is_complete: bool = False
     is_snapshot: bool = False
-    written: tuple[NewsKey, ...] = ()
+    written: tuple[UpdatedKey, ...] = ()
     removed: dict[str, int] = {}
     timeline: int = 0
     retained: tuple[RetainedKey, ...] = ()
@@ -85,7 +85,7 @@
         return StorePosition(timeline=self.timeline, revision=self.revision)
 
 
-class NewsQuestion(Message):
+class UpdateRequest(Message):
     """
     Request all changes after a revision.
 
--- a/packages/ragworthollow/src/ragworthollow/replica/news_codec.py
+++ b/packages/ragworthollow/src/ragworthollow/replica/update_codec.py
@@ -9,12 +9,12 @@
 from ragworthollow.replica.store_news import StoreNews
 
 
-def encode_news(news: StoreNews | None) -> bytes:
+def encode_update(news: StoreNews | None) -> bytes:
     """Encode and compress an update; a configuration shrinks to a tenth."""
     return zlib.compress(msgspec.json.encode(news))
 
 
-def decode_news(body: bytes) -> Result[StoreNews | None, str]:
+def decode_update(body: bytes) -> Result[StoreNews | None, str]:
     """
     Decompress and decode an update.
 
