--- a/packages/ragworthollow-daemon/src/ragworthollow_daemon/gateway/configuration_subscriber.py
+++ b/packages/ragworthollow-daemon/src/ragworthollow_daemon/gateway/configuration_subscriber.py
@@ -32,16 +32,16 @@
         self._context = context
         self._last_stored = Stored()
 
-    def take(self, found: Mapping[str, Stored], _asked_ms: float) -> None:
+    def take(self, entries: Mapping[str, Stored], _sent_ms: float) -> None:
         """
         Apply the stored configuration; keep the current one on failure.
 
         Parameters
         ----------
-        found : mapping of str to Stored
-            All entries of the store by key.
+        entries : mapping of str to Stored
+            All records of the store by key.
         """
-        stored = found.get(CONFIGURATION_KEY)
+        stored = entries.get(CONFIGURATION_KEY)
         if stored is None:
             return
         if not stored.is_same_write(self._last_stored):
--- a/packages/ragworthollow-daemon/src/ragworthollow_daemon/gateway/context.py
+++ b/packages/ragworthollow-daemon/src/ragworthollow_daemon/gateway/context.py
@@ -82,7 +82,7 @@
             metrics=self.metrics,
             spawn=self.spawn,
         )
-        self._answer_times: dict[str, AnswerTime] = {}
+        self._first_event_latencies: dict[str, AnswerTime] = {}
         self._members = 1
         self._budgets: dict[str, RetryBudget] = {}
         self._tasks: set[asyncio.Task[None]] = set()
@@ -116,7 +116,7 @@
 
     def get_answer_time(self, pool: str) -> AnswerTime:
         """Return the statistics of a pool's time to the first event."""
-        return self._answer_times.setdefault(pool, AnswerTime())
+        return self._first_event_latencies.setdefault(pool, AnswerTime())
 
     def suspect(self, instance: UpstreamInstance) -> None:
         """
--- a/packages/ragworthollow-daemon/src/ragworthollow_daemon/gateway/heard_news.py
+++ b/packages/ragworthollow-daemon/src/ragworthollow_daemon/gateway/heard_news.py
@@ -15,7 +15,7 @@
     news : StoreNews
         The update.
     asked_ms : float
-        When it was requested, on the clock that counts suspended time.
+        When it was requested, on CLOCK_BOOTTIME.
     """
 
     news: StoreNews
--- a/packages/ragworthollow-daemon/src/ragworthollow_daemon/gateway/instances_follower.py
+++ b/packages/ragworthollow-daemon/src/ragworthollow_daemon/gateway/instances_follower.py
@@ -49,25 +49,25 @@
         self._on_restart = on_restart
         self._decoded: dict[str, tuple[Stored, UpstreamInstance | None]] = {}
 
-    def take(self, found: Mapping[str, Stored], asked_ms: float) -> None:
+    def take(self, entries: Mapping[str, Stored], sent_ms: float) -> None:
         """
-        Apply the entries of all instances and the drained domains.
+        Apply the records of all instances and the drained domains.
 
         Parameters
         ----------
-        found : mapping of str to Stored
-            All entries of the store by key.
-        asked_ms : float
+        entries : mapping of str to Stored
+            All records of the store by key.
+        sent_ms : float
             Time as of which they are known to be up to date, on the monotonic
             clock.
         """
-        entries = {
+        instance_entries = {
             key: stored
-            for key, stored in found.items()
+            for key, stored in entries.items()
             if key.startswith(INSTANCES_PREFIX)
         }
-        drained = read_drained_domains(found)
-        self.take_instances(self._decode(entries), asked_ms, drained)
+        drained = read_drained_domains(entries)
+        self.take_instances(self._decode(instance_entries), sent_ms, drained)
 
     def note_lost(self, _detail: str) -> None:
         """Record that the store could not be read, and keep the list."""
@@ -77,7 +77,7 @@
     def take_instances(
         self,
         listed: Sequence[UpstreamInstance],
-        asked_ms: float,
+        sent_ms: float,
         drained: Iterable[str] = (),
     ) -> None:
         """
@@ -87,7 +87,7 @@
         ----------
         listed : sequence of UpstreamInstance
             All listed instances, including those that are leaving.
-        asked_ms : float
+        sent_ms : float
             Time as of which they are known to be up to date, on the monotonic
             clock.
         drained : iterable of str
@@ -95,7 +95,7 @@
         """
         directory = self._context.directory
         previously_drained = frozenset(directory.drains.get_since_ms())
-        change = directory.replace(listed, asked_ms, drained)
+        change = directory.replace(listed, sent_ms, drained)
         self._log_drains(previously_drained, listed)
         self._begin_warm_ups(
             change.appeared,
@@ -127,7 +127,7 @@
         """
         Treat the instances of a restored domain as warming up.
 
-        They may have gone cold while they got no requests, and their entries
+        They may have gone cold while they got no requests, and their records
         report that up to a heartbeat later.  Until then all gateways would
         prefer them at the same time, since they have the least load.
         """
@@ -167,7 +167,7 @@
         self,
         instance: UpstreamInstance | None,
     ) -> UpstreamInstance | None:
-        """Add the region, which is not part of the stored entry."""
+        """Add the region, which is not part of the stored record."""
         if instance is None:
             return None
         settings = self._context.settings
@@ -182,7 +182,7 @@
             )
 
     def _decode(self, entries: dict[str, Stored]) -> list[UpstreamInstance]:
-        """Decode entries, reusing earlier results for unchanged ones."""
+        """Decode records, reusing earlier results for unchanged ones."""
         decoded = {}
         for key, stored in entries.items():
             previous, instance = self._decoded.get(key, (Stored(), None))
--- a/packages/ragworthollow-daemon/src/ragworthollow_daemon/gateway/instances_view.py
+++ b/packages/ragworthollow-daemon/src/ragworthollow_daemon/gateway/instances_view.py
@@ -48,16 +48,16 @@
     for pool in pools:
         throttle = PoolThrottle(context=context, pool=pool)
         for instance in context.directory.get_pool(pool):
-            left_ms = context.throttle.warm_ups.get_left_ms(
+            remaining_ms = context.throttle.warm_ups.get_left_ms(
                 instance.get_incarnation(),
                 now_ms,
             )
-            if left_ms:
+            if remaining_ms:
                 yield WarmingInstance(
                     instance=instance.instance,
                     pool=pool,
-                    left_ms=left_ms,
-                    is_sender=throttle.get_wait_ms(instance) < left_ms,
+                    left_ms=remaining_ms,
+                    is_sender=throttle.get_wait_ms(instance) < remaining_ms,
                     burst=throttle.get_warm_up_burst(),
                 )
 
@@ -71,11 +71,11 @@
         for instance in context.directory.get_pool(pool):
             limit = limits.find(instance.get_incarnation(), now_ms)
             if limit is not None:
-                left_ms = limits.get_left_ms(limit, now_ms)
+                remaining_ms = limits.get_left_ms(limit, now_ms)
                 yield LimitedInstance(
                     instance=instance.instance,
                     pool=pool,
                     requests_per_s=limit.requests_per_s,
                     named_age_ms=now_ms - limit.heard_ms,
-                    is_sender=throttle.get_wait_ms(instance) < left_ms,
+                    is_sender=throttle.get_wait_ms(instance) < remaining_ms,
                 )
--- a/packages/ragworthollow-daemon/src/ragworthollow_daemon/gateway/membership.py
+++ b/packages/ragworthollow-daemon/src/ragworthollow_daemon/gateway/membership.py
@@ -24,9 +24,9 @@
 
 class Membership:
     """
-    Maintain this gateway's leased entry in the store.
+    Maintain this gateway's leased record in the store.
 
-    The entry holds the address at which peers reach this gateway.  Its lease
+    The record holds the address at which peers reach this gateway.  Its lease
     expires if the process dies.
 
     Parameters
@@ -52,15 +52,15 @@
         self._store_restored = asyncio.Event()
 
     async def run(self) -> None:
-        """Register this gateway and renew its entry until cancelled."""
+        """Register this gateway and renew its record until cancelled."""
         announced_lease = 0
         while True:
             was_restored = self._store_restored.is_set()
             self._store_restored.clear()
-            is_registered = await self._ensure_entry()
+            is_registered = await self._ensure_record()
             if is_registered and was_restored:
-                # A restored store may have the lease but not the entry.
-                is_registered = await self._write_entry(self._lease)
+                # A restored store may have the lease but not the record.
+                is_registered = await self._write_record(self._lease)
             # The peers to notify are known after the first read of the store.
             if self._has_member_list and self._lease != announced_lease:
                 announced_lease = self._lease
@@ -76,21 +76,21 @@
 
     async def leave(self) -> None:
         """
-        Announce that this process no longer hosts gates.
+        Announce that this process no longer hosts schedulers.
 
-        The entry stays while the process serves, so that a gateway that
+        The record stays while the process serves, so that a gateway that
         starts in the meantime learns about it and announces itself to it.
         Otherwise several processes that stop one after the other would know
-        of no other host, and each would host every gate.
+        of no other host, and each would host every scheduler.
         """
         self._is_leaving = True
         self._members.leave()
         await self._announce()
         if self._lease:
-            await self._write_entry(self._lease)
+            await self._write_record(self._lease)
 
     async def end(self) -> None:
-        """Revoke the lease, which removes the entry from the store."""
+        """Revoke the lease, which removes the record from the store."""
         if not self._lease:
             return
         try:
@@ -101,8 +101,8 @@
         except TimeoutError:
             log_event('entry_left', step=_STEP, lease=self._lease)
 
-    async def _ensure_entry(self) -> bool:
-        """Renew or write the entry, and return whether that succeeded."""
+    async def _ensure_record(self) -> bool:
+        """Renew or write the record, and return whether that succeeded."""
         if self._lease:
             renewed = await self._context.store.renew_lease(self._lease)
             # A renewal without a response may have succeeded; only an explicit
@@ -117,20 +117,20 @@
         if isinstance(granted, Err):
             return False
         lease = granted.ok_value
-        if not await self._write_entry(lease):
+        if not await self._write_record(lease):
             return False
         self._lease = lease
         log_event('registered', step=_STEP, lease=lease)
         return True
 
-    async def _write_entry(self, lease: int) -> bool:
-        entry = self._make_member()
+    async def _write_record(self, lease: int) -> bool:
+        member = self._make_member()
         written = await self._context.store.commit(
             compares=(),
             puts=[
                 Put(
-                    key=f'{_PREFIX}{entry.instance}',
-                    text=msgspec.json.encode(entry).decode(),
+                    key=f'{_PREFIX}{member.instance}',
+                    text=msgspec.json.encode(member).decode(),
                     lease=lease,
                 ),
             ],
@@ -168,14 +168,14 @@
             ),
         )
 
-    def take(self, found: Mapping[str, Stored], proved_ms: float) -> None:
-        """Apply the list of members, known to be current at `proved_ms`."""
+    def take(self, entries: Mapping[str, Stored], confirmed_ms: float) -> None:
+        """Apply the list of members, known to be current at `confirmed_ms`."""
         timeline = self._context.replica.view.timeline
         if timeline != self._timeline:
             self._timeline = timeline
             self._store_restored.set()
         previous = self._members.get_members().keys()
-        self._members.replace(_decode(found), proved_ms)
+        self._members.replace(_decode(entries), confirmed_ms)
         self._has_member_list = True
         current = self._members.get_members().keys()
         self._context.set_members(current, get_monotonic_ms())
@@ -192,9 +192,9 @@
         self._context.metrics.count_event('member_list_unavailable')
 
 
-def _decode(found: Mapping[str, Stored]) -> list[GatewayMember]:
+def _decode(entries: Mapping[str, Stored]) -> list[GatewayMember]:
     members = []
-    for key, stored in found.items():
+    for key, stored in entries.items():
         if not key.startswith(_PREFIX):
             continue
         try:
--- a/packages/ragworthollow-daemon/src/ragworthollow_daemon/gateway/peer_routes.py
+++ b/packages/ragworthollow-daemon/src/ragworthollow_daemon/gateway/peer_routes.py
@@ -60,9 +60,9 @@
     members : GatewayMembers
         Gateways of the cluster.
     service : PieceService
-        Runs pieces in the gates that this gateway hosts.
+        Runs pieces in the schedulers that this gateway hosts.
     handover : GateHandover
-        Accepts gates from their previous hosts.
+        Accepts schedulers from their previous hosts.
     """
 
     def __init__(
@@ -137,17 +137,17 @@
         """Send an update of the store to a gateway that cannot read it."""
         body = await request.read()
         try:
-            question = msgspec.json.decode(body, type=UpdateRequest)
+            update_request = msgspec.json.decode(body, type=UpdateRequest)
         except msgspec.DecodeError as error:
             return respond(Problem(error=str(error)), status=_BAD_REQUEST)
         self._context.metrics.count_event('store_news_told')
-        news = self._context.replica.make_news(
-            after=question.get_position(),
+        update = self._context.replica.make_news(
+            after=update_request.get_position(),
             now_ms=get_boottime_ms(),
             longest_bytes=float('inf'),
             may_be_snapshot=True,
         )
-        return web.Response(body=encode_update(news))
+        return web.Response(body=encode_update(update))
 
     async def apply_member_change(self, request: web.Request) -> web.Response:
         """Apply a gateway's announcement that it joins or leaves."""
@@ -179,14 +179,14 @@
         pieces = decode_pieces(order, now_ms)
         # A stopping host still finishes the pieces of its peers.
         with self._context.drain.serving():
-            found = await self._service.run(order.pool, pieces)
-        return respond(encode_results(found))
+            results = await self._service.run(order.pool, pieces)
+        return respond(encode_results(results))
 
     async def release_results(self, request: web.Request) -> web.Response:
         """
-        Release results through the gate that accounts for their space.
+        Release results through the scheduler that accounts for their space.
 
-        The sender may not know yet that another gateway now hosts the gate.
+        The sender may not know yet that another gateway now hosts the scheduler.
         The accounting has moved to that gateway, which would count the results
         as occupying space until they expire.
         """
@@ -212,7 +212,7 @@
             self._service.free(release.pool, release.handles)
 
     async def apply_transfer(self, request: web.Request) -> web.Response:
-        """Take over a gate's state from its previous host."""
+        """Take over a scheduler's state from its previous host."""
         body = await request.read()
         try:
             transfer = msgspec.json.decode(body, type=GateTransfer)
--- a/packages/ragworthollow-daemon/src/ragworthollow_daemon/gateway/role.py
+++ b/packages/ragworthollow-daemon/src/ragworthollow_daemon/gateway/role.py
@@ -56,7 +56,7 @@
             context=self.context,
             members=self.members,
         )
-        self._pieces = PieceClient(
+        self._piece_client = PieceClient(
             context=self.context,
             members=self.members,
             service=self.service,
@@ -66,8 +66,8 @@
             members=self.members,
             gates=self.service.get_gates(),
         )
-        self._records = QuarantineRecords(context=self.context)
-        self._follower = make_store_poller(
+        self._quarantine_records = QuarantineRecords(context=self.context)
+        self._store_poller = make_store_poller(
             context=self.context,
             members=self.members,
             followers=(
@@ -77,26 +77,26 @@
                     on_restart=self.service.forget_incarnation,
                 ),
                 self.membership,
-                self._records,
+                self._quarantine_records,
                 ConfigurationSubscriber(context=self.context),
             ),
         )
-        self._pings = make_host_pinger(
+        self._host_pinger = make_host_pinger(
             context=self.context,
             members=self.members,
             announced=self.service.get_gates().announced,
-            follower=self._follower,
+            follower=self._store_poller,
         )
         self._runners: list[web.BaseRunner] = []
 
     async def start(self) -> None:
         """Start the listeners, then the background loops."""
         readiness = Readiness(context=self.context)
-        front = Front(
+        request_handler = Front(
             context=self.context,
-            pieces=self._pieces,
+            pieces=self._piece_client,
         )
-        peers = PeerRoutes(
+        peer_routes = PeerRoutes(
             context=self.context,
             members=self.members,
             service=self.service,
@@ -112,7 +112,7 @@
         await self._run(
             web.ServerRunner(
                 LimitedServer(
-                    front.handle,
+                    request_handler.handle,
                     get_limits=self.context.get_limits,
                 ),
                 shutdown_timeout=_SHUTDOWN_S,
@@ -121,19 +121,21 @@
         )
         await self._serve_application(
             self._settings.peer_address,
-            peers.make_application(),
+            peer_routes.make_application(),
         )
         if self._settings.metrics_address:
-            status = StatusRoutes(context=self.context, pieces=self._pieces)
+            status_routes = StatusRoutes(
+                context=self.context, pieces=self._piece_client
+            )
             await self._serve_application(
                 self._settings.metrics_address,
-                status.make_application(),
+                status_routes.make_application(),
             )
-        self.context.spawn_loop(self._follower.run())
-        self.context.spawn_loop(self._tick(front))
+        self.context.spawn_loop(self._store_poller.run())
+        self.context.spawn_loop(self._tick(request_handler))
         self.context.spawn_loop(self.membership.run())
-        self.context.spawn_loop(self._pings.run())
-        self.context.spawn_loop(self._records.run())
+        self.context.spawn_loop(self._host_pinger.run())
+        self.context.spawn_loop(self._quarantine_records.run())
 
     def begin_stop(self) -> None:
         """Report as not ready, and refuse requests that cannot finish."""
@@ -154,8 +156,8 @@
         started_ms = get_monotonic_ms()
         await self.membership.leave()
         await self.context.stop.wait(global_settings.GATEWAY_BALANCER_LAG_MS)
-        left_ms = self.context.stop.get_left_ms(get_boottime_ms())
-        if not await self.context.drain.wait_quiet(left_ms):
+        remaining_ms = self.context.stop.get_left_ms(get_boottime_ms())
+        if not await self.context.drain.wait_quiet(remaining_ms):
             self.context.stop.give_up()
             await self.context.drain.wait_quiet(
                 global_settings.GATEWAY_LAST_ANSWERS_MS,
@@ -175,13 +177,13 @@
             await runner.cleanup()
         await self.context.close()
 
-    async def _tick(self, front: Front) -> None:
+    async def _tick(self, request_handler: Front) -> None:
         while True:
             await asyncio.sleep(global_settings.GATE_TICK_MS / 1000)
             self._handover.check()
-            self._pieces.tell_new_hosts()
+            self._piece_client.tell_new_hosts()
             self.service.advance_all()
-            front.advance()
+            request_handler.advance()
 
     async def _serve_application(
         self,
--- a/packages/ragworthollow-daemon/src/ragworthollow_daemon/gateway/shutdown_state.py
+++ b/packages/ragworthollow-daemon/src/ragworthollow_daemon/gateway/shutdown_state.py
@@ -25,9 +25,9 @@
     cannot finish, and shortly before it exits it responds to all requests
     that have no response yet.
 
-    Times are on the clock that counts suspended time, like the platform's
-    grace period.  With a clock that stops during suspension, the process would
-    keep serving until it is killed.
+    Times are on CLOCK_BOOTTIME, which includes time in suspend, like the
+    platform's grace period.  With a clock that stops during suspend, the
+    process would keep serving until it is killed.
     """
 
     def __init__(self) -> None:
@@ -49,7 +49,7 @@
         return self._deadline_ms - now_ms
 
     async def wait(self, longest_ms: float) -> None:
-        """Wait, but not beyond the time in which requests can finish."""
+        """Wait for `longest_ms`, but only while requests can still finish."""
         wait_until_ms = min(get_boottime_ms() + longest_ms, self._deadline_ms)
         while get_boottime_ms() < wait_until_ms:
             await asyncio.sleep(global_settings.STOP_STEP_MS / _MILLISECONDS)
@@ -65,7 +65,7 @@
         limit_ms : float
             Maximum time that it may take.
         now_ms : float
-            Time on the clock that counts suspended time.
+            Time on CLOCK_BOOTTIME.
         """
         if self._started_ms is None:
             return True
@@ -89,7 +89,7 @@
         Parameters
         ----------
         work : coroutine
-            The work, which is cancelled when the process gives up.
+            The work, which is cancelled if the process aborts it.
         may_end : callable
             Called at that point; returns whether the work may be cancelled.
 
--- a/packages/ragworthollow-daemon/src/ragworthollow_daemon/gateway/store_follower.py
+++ b/packages/ragworthollow-daemon/src/ragworthollow_daemon/gateway/store_follower.py
@@ -15,7 +15,7 @@
 from ragworthollow.utils import get_boottime_ms, get_monotonic_ms
 from ragworthollow_daemon.gateway.context import GatewayContext
 from ragworthollow_daemon.gateway.heard_news import HeardNews
-from ragworthollow_daemon.gateway.retry_delay import get_retry_delay_ms
+from ragworthollow_daemon.gateway.poll_pace import get_retry_delay_ms
 from ragworthollow_daemon.gateway.store_reporter import StoreReporter
 
 AskPeers = Callable[[StorePosition], Awaitable[Sequence[HeardNews]]]
@@ -27,15 +27,15 @@
 class Follower(Protocol):
     """Receive the state of the store, or that it could not be read."""
 
-    def take(self, found: Mapping[str, Stored], asked_ms: float) -> None:
+    def take(self, entries: Mapping[str, Stored], sent_ms: float) -> None:
         """
-        Apply all records, known to be current as of `asked_ms`.
+        Apply all records, known to be current as of `sent_ms`.
 
         Parameters
         ----------
-        found : mapping of str to Stored
+        entries : mapping of str to Stored
             All records by key.
-        asked_ms : float
+        sent_ms : float
             Time of the confirmation, on the monotonic clock.
         """
 
@@ -130,22 +130,22 @@
             Whether the store answered.
         """
         self._is_behind.clear()
-        asked_ms = get_boottime_ms()
+        sent_ms = get_boottime_ms()
         read = await self._read()
-        self._reporter.record_read(asked_ms, read)
+        self._reporter.record_read(sent_ms, read)
         if isinstance(read, Err):
             if not await self._fetch_peer_updates():
                 for follower in self._followers:
                     follower.note_lost(str(read.err_value))
             return False
-        self._replica.evidence.note(asked_ms)
+        self._replica.evidence.note(sent_ms)
         self._notify()
         if self._replica.view.timeline != self._synced_timeline:
             self._synced_timeline = self._replica.view.timeline
             await self._fetch_peer_updates()
         return True
 
-    def take_news(self, news: StoreNews, asked_ms: float) -> bool:
+    def take_news(self, update: StoreNews, sent_ms: float) -> bool:
         """
         Apply an update from a peer.
 
@@ -161,17 +161,17 @@
         bool
             Whether the replica is now fresher than before.
         """
-        effect = self._replica.take_news(news, asked_ms, get_boottime_ms())
-        if effect.is_behind:
+        result = self._replica.take_news(update, sent_ms, get_boottime_ms())
+        if result.is_behind:
             self._is_behind.set()
-        if effect.is_fresher:
+        if result.is_fresher:
             self._context.metrics.count_event('store_heard')
             self._postpone_full_read()
-        if effect.has_changed or (
-            effect.is_fresher and self._is_notification_due()
+        if result.has_changed or (
+            result.is_fresher and self._is_notification_due()
         ):
             self._notify()
-        return effect.is_fresher
+        return result.is_fresher
 
     async def _wait_until_stale(self) -> None:
         """
@@ -182,11 +182,11 @@
         """
         while not (self._is_behind.is_set() or self._was_restored()):
             age_ms = self._replica.evidence.get_age_ms(get_boottime_ms())
-            left_ms = self._get_max_staleness_ms() - age_ms
-            if left_ms <= 0:
+            remaining_ms = self._get_max_staleness_ms() - age_ms
+            if remaining_ms <= 0:
                 return
             pause_ms = min(
-                max(left_ms, _MIN_PAUSE_MS),
+                max(remaining_ms, _MIN_PAUSE_MS),
                 global_settings.HOST_PING_MS,
             )
             with contextlib.suppress(TimeoutError):
@@ -223,10 +223,10 @@
         now_ms = get_boottime_ms()
         self._last_notified_ms = now_ms
         age_ms = self._replica.evidence.get_age_ms(now_ms)
-        proved_ms = get_monotonic_ms() - age_ms
-        found = self._replica.get_found(now_ms)
+        confirmed_ms = get_monotonic_ms() - age_ms
+        entries = self._replica.get_found(now_ms)
         for follower in self._followers:
-            follower.take(found, proved_ms)
+            follower.take(entries, confirmed_ms)
 
     async def _read(self) -> Result[None, PlatformError]:
         now_ms = get_boottime_ms()
@@ -263,9 +263,9 @@
         now_ms = get_boottime_ms()
         if snapshot.ok_value.timeline < self._replica.view.timeline:
             return Err(self._reporter.make_stale_read_error(snapshot.ok_value))
-        held = self._replica.view.get_position()
+        previous = self._replica.view.get_position()
         if self._replica.replace(snapshot.ok_value, now_ms):
-            self._reporter.record_restore(held)
+            self._reporter.record_restore(previous)
             # Lost records reappear like those that expire during an outage.
             for follower in self._followers:
                 follower.note_lost('restored from a copy')
--- a/packages/ragworthollow-daemon/src/ragworthollow_daemon/gateway/update_client.py
+++ b/packages/ragworthollow-daemon/src/ragworthollow_daemon/gateway/update_client.py
@@ -82,7 +82,7 @@
         peer: GatewayMember,
         body: bytes,
     ) -> HeardNews | None:
-        asked_ms = get_boottime_ms()
+        sent_ms = get_boottime_ms()
         try:
             async with self._context.session.post(
                 f'http://{peer.peer_address}{UPDATE_PATH}',
@@ -92,18 +92,18 @@
                     global_settings.PEER_CONNECT_TIMEOUT_MS,
                 ),
             ) as response:
-                news = decode_update(await response.read())
+                update = decode_update(await response.read())
         except (TimeoutError, aiohttp.ClientError, OSError) as error:
-            news = Err(repr(error))
-        if isinstance(news, Err):
+            update = Err(repr(error))
+        if isinstance(update, Err):
             self._context.metrics.count_event('store_news_failed')
             log_event(
                 'store_news_failed',
                 step=_STEP,
                 peer=peer.instance,
-                error=news.err_value,
+                error=update.err_value,
             )
             return None
-        if news.ok_value is None:
+        if update.ok_value is None:
             return None
-        return HeardNews(news=news.ok_value, asked_ms=asked_ms)
+        return HeardNews(news=update.ok_value, asked_ms=sent_ms)
--- a/packages/ragworthollow/src/ragworthollow/replica/__init__.py
+++ b/packages/ragworthollow/src/ragworthollow/replica/__init__.py
@@ -1,7 +1,7 @@
 """Replicate the store, and track how fresh the replica is."""
 
-from ragworthollow.replica.evidence import Evidence
-from ragworthollow.replica.follow_paces import FollowPaces, derive_paces
+from ragworthollow.replica.freshness import Freshness
+from ragworthollow.replica.poll_intervals import FollowPaces, derive_paces
 from ragworthollow.replica.replica import NewsEffect, Replica
 from ragworthollow.replica.store_news import (
     RetainedKey,
--- a/packages/ragworthollow/src/ragworthollow/replica/follow_paces.py
+++ b/packages/ragworthollow/src/ragworthollow/replica/poll_intervals.py
@@ -13,9 +13,9 @@
     Attributes
     ----------
     trust_ms : float
-        Maximum age of the latest evidence, own or a peer's, in milliseconds;
+        Maximum age of the latest confirmation, from an own read or a peer;
         at this age a gateway polls the store itself.
-    read_ms : float
+    reader_staleness_ms : float
         The same limit for the first reader, the gateway that polls on behalf
         of its peers.
     step_ms : float
@@ -26,31 +26,33 @@
     """
 
     trust_ms: float
-    read_ms: float
+    reader_staleness_ms: float
     step_ms: float
     max_retry_ms: float
 
-    def get_read_ms(self, place: int) -> float:
+    def get_read_ms(self, rank: int) -> float:
         """
-        Return the evidence age at which a reader polls the store.
+        Return the maximum staleness at which a reader polls the store.
 
         Parameters
         ----------
-        place : int
+        rank : int
             Rank of this gateway among the readers, 0 for the first.
         """
-        return min(self.trust_ms, self.read_ms + place * self.step_ms)
+        return min(
+            self.trust_ms, self.reader_staleness_ms + rank * self.step_ms
+        )
 
 
 def derive_paces(*, bound_ms: float, heartbeat_ms: float) -> FollowPaces:
     """
     Derive the polling intervals from the bounds that they have to meet.
 
-    In the worst case a change is accepted right after a read.  The evidence
-    of that read reaches the age `trust_ms`, the gateway polls, and the call
-    fails and is retried.  All of this has to fit into a share of the bound.
+    In the worst case a change is accepted right after a read.  The staleness
+    then grows to `trust_ms`, the gateway polls, and the call fails and is
+    retried.  All of this has to fit into a share of the bound.
 
-    During an outage the entries of live instances expire after three
+    During an outage the records of live instances expire after three
     heartbeats.  The outage has to be detected before that, since the instances
     would otherwise be considered gone; a heartbeat may just have been due when
     the outage began.
@@ -60,7 +62,7 @@
     bound_ms : float
         Maximum time from the acceptance of a change until it is active.
     heartbeat_ms : float
-        Interval at which instances renew their entries.
+        Interval at which instances renew their records.
     """
     step_ms = global_settings.HOST_PING_MS + global_settings.PEER_ANSWER_MS
     failed_call_ms = (
@@ -68,7 +70,7 @@
         + global_settings.STORE_RETRY_MS
         + global_settings.STORE_ANSWER_MS
     )
-    trust_ms = max(
+    max_staleness_ms = max(
         step_ms,
         min(
             bound_ms * global_settings.CHANGE_SEEN_SHARE - failed_call_ms,
@@ -76,10 +78,13 @@
         ),
     )
     # Leaves time for two further readers and for passing the update to peers.
-    read_ms = trust_ms - 3 * step_ms
+    reader_staleness_ms = max_staleness_ms - 3 * step_ms
     return FollowPaces(
-        trust_ms=trust_ms,
-        read_ms=max(read_ms, trust_ms * global_settings.READ_LEAST_SHARE),
+        trust_ms=max_staleness_ms,
+        reader_staleness_ms=max(
+            reader_staleness_ms,
+            max_staleness_ms * global_settings.READ_LEAST_SHARE,
+        ),
         step_ms=step_ms,
         max_retry_ms=bound_ms * global_settings.STORE_RETRY_SHARE,
     )
--- a/packages/ragworthollow/src/ragworthollow/replica/replica.py
+++ b/packages/ragworthollow/src/ragworthollow/replica/replica.py
@@ -14,7 +14,7 @@
 from ragworthollow.platform.store_position import StorePosition
 from ragworthollow.platform.store_snapshot import StoreSnapshot
 from ragworthollow.platform.stored import Stored
-from ragworthollow.replica.evidence import Evidence
+from ragworthollow.replica.freshness import Freshness
 from ragworthollow.replica.retained_keys import RetainedKeys
 from ragworthollow.replica.store_news import StoreNews, UpdatedKey
 from ragworthollow.replica.store_view import StoreView
@@ -43,19 +43,19 @@
 
 class Replica:
     """
-    Hold a copy of the store and the evidence of how fresh it is.
+    Hold a copy of the store, and how fresh it is.
 
     Attributes
     ----------
     view : StoreView
         The copy.
-    evidence : Evidence
+    evidence : Freshness
         As of when the copy is known to be up to date.
     """
 
     def __init__(self) -> None:
         self.view = StoreView()
-        self.evidence = Evidence()
+        self.evidence = Freshness()
         self._retained = RetainedKeys(
             is_newer=is_newer_value,
             may_outlive=may_outlive_loss,
@@ -79,7 +79,7 @@
         snapshot : StoreSnapshot
             All keys of the store.
         now_ms : float
-            Time on the clock of the evidence.
+            Time on CLOCK_BOOTTIME.
 
         Returns
         -------
@@ -131,7 +131,7 @@
         after : StorePosition
             Position up to which the peer knows all changes.
         now_ms : float
-            Time on the clock of the evidence.
+            Time on CLOCK_BOOTTIME.
         longest_bytes : float
             Size, in bytes, above which changes are left out.
         may_be_snapshot : bool
@@ -154,7 +154,7 @@
                 is_whole=True,
                 timeline=self.view.timeline,
             )
-        news = StoreNews(
+        update = StoreNews(
             revision=self.view.revision,
             age_ms=self.evidence.get_age_ms(now_ms),
             timeline=self.view.timeline,
@@ -163,9 +163,9 @@
             else (),
         )
         if changes is None or _get_size(changes) > longest_bytes:
-            return news
+            return update
         return msgspec.structs.replace(
-            news,
+            update,
             is_complete=True,
             is_snapshot=is_snapshot,
             written=tuple(
@@ -182,8 +182,8 @@
 
     def take_news(
         self,
-        news: StoreNews,
-        asked_ms: float,
+        update: StoreNews,
+        sent_ms: float,
         now_ms: float,
     ) -> NewsEffect:
         """
@@ -195,55 +195,55 @@
 
         Parameters
         ----------
-        news : StoreNews
+        update : StoreNews
             The update.
-        asked_ms : float
-            When it was requested, on the clock of the evidence.  The peer
-            computed the age after this time, so the proof is at least as
-            recent as this time minus the age, however long the response took.
+        sent_ms : float
+            When it was requested, on CLOCK_BOOTTIME.  The peer computed the
+            age after this time, so its confirmation is at least as recent as
+            this time minus the age, however long the response took.
         now_ms : float
-            Time on the clock of the evidence.
+            Time on CLOCK_BOOTTIME.
         """
-        if news.timeline < self.view.timeline:
+        if update.timeline < self.view.timeline:
             # The peer's state was discarded when the store was restored.
             return NewsEffect()
-        is_behind = news.get_position() > self.view.get_position()
+        is_behind = update.get_position() > self.view.get_position()
         can_catch_up = (
-            news.is_snapshot or news.timeline == self.view.timeline
-        ) and news.is_complete
+            update.is_snapshot or update.timeline == self.view.timeline
+        ) and update.is_complete
         if is_behind and not can_catch_up:
             return NewsEffect(is_behind=True)
         if is_behind:
-            self._apply(news, now_ms)
+            self._apply(update, now_ms)
         has_merged = self._retained.add_from_peer(
-            news.retained,
+            update.retained,
             self.view.found,
             now_ms,
         )
-        is_fresher = self.evidence.note(asked_ms - max(0, news.age_ms))
+        is_fresher = self.evidence.note(sent_ms - max(0, update.age_ms))
         return NewsEffect(
             is_fresher=is_fresher,
             has_changed=is_behind or has_merged,
         )
 
-    def _apply(self, news: StoreNews, now_ms: float) -> None:
+    def _apply(self, update: StoreNews, now_ms: float) -> None:
         written = {
             entry.key: Stored(
                 text=entry.text,
                 mod_revision=entry.revision,
                 create_revision=entry.created,
-                timeline=news.timeline,
+                timeline=update.timeline,
             )
-            for entry in news.written
+            for entry in update.written
         }
-        if news.is_snapshot:
-            size_bytes = sum(len(entry.text) for entry in news.written)
+        if update.is_snapshot:
+            size_bytes = sum(len(entry.text) for entry in update.written)
             self.replace(
                 StoreSnapshot(
                     found=written,
-                    revision=news.revision,
+                    revision=update.revision,
                     size_bytes=size_bytes,
-                    timeline=news.timeline,
+                    timeline=update.timeline,
                 ),
                 now_ms,
             )
@@ -251,10 +251,10 @@
         self.apply(
             StoreChanges(
                 written=written,
-                removed=news.removed,
-                revision=news.revision,
+                removed=update.removed,
+                revision=update.revision,
                 is_whole=True,
-                timeline=news.timeline,
+                timeline=update.timeline,
             ),
         )
 
--- a/packages/ragworthollow/src/ragworthollow/replica/retained_keys.py
+++ b/packages/ragworthollow/src/ragworthollow/replica/retained_keys.py
@@ -61,9 +61,9 @@
 
     def start_retention(
         self,
-        held: Mapping[str, Stored],
+        previous: Mapping[str, Stored],
         removed: Mapping[str, int],
-        found: Mapping[str, Stored],
+        entries: Mapping[str, Stored],
         now_ms: float,
     ) -> None:
         """
@@ -71,31 +71,31 @@
 
         Parameters
         ----------
-        held : mapping of str to Stored
+        previous : mapping of str to Stored
             Entries that were active before the restore.
         removed : mapping of str to int
             Revision of each removal that is still remembered, by key.
-        found : mapping of str to Stored
+        entries : mapping of str to Stored
             Entries of the restored store.
         now_ms : float
-            Time on the clock that counts suspended time.
+            Time on CLOCK_BOOTTIME.
         """
         expires_ms = now_ms + global_settings.RESTORED_RETENTION_MS
         lost = {
             key: _RetainedValue(stored=stored, expires_ms=expires_ms)
-            for key, stored in held.items()
-            if key not in found and self._may_outlive(key)
+            for key, stored in previous.items()
+            if key not in entries and self._may_outlive(key)
         }
         newer = {
-            key: _RetainedValue(stored=held[key], expires_ms=float('inf'))
-            for key in held.keys() & found.keys()
-            if self._is_newer(key, held[key].text, found[key].text)
+            key: _RetainedValue(stored=previous[key], expires_ms=float('inf'))
+            for key in previous.keys() & entries.keys()
+            if self._is_newer(key, previous[key].text, entries[key].text)
         }
         reappeared = {
             key: _RetainedValue(stored=None, expires_ms=expires_ms)
-            for key in (removed.keys() & found.keys()) - held.keys()
+            for key in (removed.keys() & entries.keys()) - previous.keys()
             # A higher revision means a new write after the removal.
-            if found[key].mod_revision < removed[key]
+            if entries[key].mod_revision < removed[key]
             and self._may_stay_removed(key)
         }
         self._retained = {**lost, **newer, **reappeared}
@@ -103,22 +103,22 @@
     def discard_written(
         self,
         keys: Collection[str],
-        found: Mapping[str, Stored],
+        entries: Mapping[str, Stored],
     ) -> None:
         """Discard keys that were written or removed since the restore."""
         for key in keys & self._retained.keys():
             stored = self._retained[key].stored
             is_newer = (
                 stored is not None
-                and key in found
-                and self._is_newer(key, stored.text, found[key].text)
+                and key in entries
+                and self._is_newer(key, stored.text, entries[key].text)
             )
             if not is_newer:
                 self._retained.pop(key)
 
     def merge(
         self,
-        found: Mapping[str, Stored],
+        entries: Mapping[str, Stored],
         now_ms: float,
     ) -> Mapping[str, Stored]:
         """Return the store's entries overlaid with the retained keys."""
@@ -128,8 +128,8 @@
             if retained.expires_ms > now_ms
         }
         if not self._retained:
-            return found
-        merged = dict(found)
+            return entries
+        merged = dict(entries)
         for key, retained in self._retained.items():
             merged.pop(key, None)
             if retained.stored is not None:
@@ -139,7 +139,7 @@
     def add_from_peer(
         self,
         received: Collection[RetainedKey],
-        found: Mapping[str, Stored],
+        entries: Mapping[str, Stored],
         now_ms: float,
     ) -> bool:
         """
@@ -149,12 +149,12 @@
         ----------
         received : collection of RetainedKey
             Keys that the peer retains.
-        found : mapping of str to Stored
+        entries : mapping of str to Stored
             Entries of the store.
         now_ms : float
-            Time on the clock that counts suspended time.
+            Time on CLOCK_BOOTTIME.
         """
-        added = dict(self._select_new(received, found, now_ms))
+        added = dict(self._select_new(received, entries, now_ms))
         self._retained.update(added)
         return bool(added)
 
@@ -177,12 +177,12 @@
     def _select_new(
         self,
         received: Collection[RetainedKey],
-        found: Mapping[str, Stored],
+        entries: Mapping[str, Stored],
         now_ms: float,
     ) -> Iterator[tuple[str, _RetainedValue]]:
         for entry in received:
             expires_ms = now_ms + entry.left_ms
-            current = self.merge(found, now_ms).get(entry.key)
+            current = self.merge(entries, now_ms).get(entry.key)
             if entry.text is None:
                 if current is not None:
                     yield (
--- a/packages/ragworthollow/src/ragworthollow/replica/store_news.py
+++ b/packages/ragworthollow/src/ragworthollow/replica/store_news.py
@@ -60,7 +60,7 @@
         receivers get them from the store, whose link is wider.
     is_snapshot : bool
         Whether `written` holds all keys.
-    written : tuple of NewsKey
+    written : tuple of UpdatedKey
         Keys that were written.
     removed : dict of str to int
         Revision at which a key was removed, by key.
--- a/packages/ragworthollow/src/ragworthollow/replica/store_view.py
+++ b/packages/ragworthollow/src/ragworthollow/replica/store_view.py
@@ -28,7 +28,7 @@
     """
 
     def __init__(self) -> None:
-        self._found: dict[str, Stored] = {}
+        self._entries: dict[str, Stored] = {}
         # Revision of removal by key, to report removals to peers; complete
         # for revisions after `_removals_known_after`.
         self._removed: dict[str, int] = {}
@@ -40,7 +40,7 @@
     @property
     def found(self) -> Mapping[str, Stored]:
         """Return all entries by key."""
-        return self._found
+        return self._entries
 
     def get_position(self) -> StorePosition:
         """Return the position of this copy."""
@@ -64,11 +64,11 @@
             self._removed = {}
             self._removals_known_after = snapshot.revision
         elif self.revision:
-            missing = self._found.keys() - snapshot.found.keys()
+            missing = self._entries.keys() - snapshot.found.keys()
             self._record_removed(dict.fromkeys(missing, snapshot.revision))
         else:
             self._removals_known_after = snapshot.revision
-        self._found = dict(snapshot.found)
+        self._entries = dict(snapshot.found)
         self.revision = snapshot.revision
         self.timeline = snapshot.timeline
         self.size_bytes = snapshot.size_bytes
@@ -95,14 +95,14 @@
             for key, stored in changes.written.items()
             if self._is_new(key, stored.mod_revision)
         }
-        self._found.update(written)
+        self._entries.update(written)
         removed = {
             key: revision
             for key, revision in changes.removed.items()
             if self._is_new(key, revision)
         }
         for key in removed:
-            self._found.pop(key, None)
+            self._entries.pop(key, None)
         self._record_removed(removed)
         self.revision = max(self.revision, changes.revision)
 
@@ -134,7 +134,7 @@
         return StoreChanges(
             written={
                 key: stored
-                for key, stored in self._found.items()
+                for key, stored in self._entries.items()
                 if stored.mod_revision > after_revision
             },
             removed={
@@ -158,5 +158,5 @@
 
     def _is_new(self, key: str, revision: int) -> bool:
         """Return whether a change of a key is missing from the copy."""
-        known_revision = self._found.get(key, Stored()).mod_revision
+        known_revision = self._entries.get(key, Stored()).mod_revision
         return revision > max(self.revision, known_revision)
--- a/packages/ragworthollow/src/ragworthollow/replica/update_codec.py
+++ b/packages/ragworthollow/src/ragworthollow/replica/update_codec.py
@@ -9,9 +9,9 @@
 from ragworthollow.replica.store_news import StoreNews
 
 
-def encode_update(news: StoreNews | None) -> bytes:
+def encode_update(update: StoreNews | None) -> bytes:
     """Encode and compress an update; a configuration shrinks to a tenth."""
-    return zlib.compress(msgspec.json.encode(news))
+    return zlib.compress(msgspec.json.encode(update))
 
 
 def decode_update(body: bytes) -> Result[StoreNews | None, str]:
@@ -29,7 +29,7 @@
             body,
             global_settings.NEWS_LONGEST_BYTES,
         )
-        news = msgspec.json.decode(decompressed, type=StoreNews | None)
+        update = msgspec.json.decode(decompressed, type=StoreNews | None)
     except (zlib.error, msgspec.DecodeError) as error:
         return Err(repr(error))
-    return Ok(news)
+    return Ok(update)
