--- a/packages/ragworthollow-daemon/src/ragworthollow_daemon/gateway/peer_routes.py
+++ b/packages/ragworthollow-daemon/src/ragworthollow_daemon/gateway/peer_routes.py
@@ -186,9 +186,9 @@
         """
         Release results through the scheduler that accounts for their space.
 
-        The sender may not know yet that another gateway now hosts the scheduler.
-        The accounting has moved to that gateway, which would count the results
-        as occupying space until they expire.
+        The sender may not know yet that another gateway now hosts the
+        scheduler.  The accounting has moved to that gateway, which would count
+        the results as occupying space until they expire.
         """
         body = await request.read()
         try:
--- a/packages/ragworthollow/src/ragworthollow/replica/__init__.py
+++ b/packages/ragworthollow/src/ragworthollow/replica/__init__.py
@@ -1,7 +1,8 @@
 """Replicate the store, and track how fresh the replica is."""
 
-from ragworthollow.replica.freshness import Freshness
-from ragworthollow.replica.poll_intervals import FollowPaces, derive_paces
+from ragworthollow.replica.evidence import Freshness
+from ragworthollow.replica.follow_paces import FollowPaces, derive_paces
+from ragworthollow.replica.news_codec import decode_update, encode_update
 from ragworthollow.replica.replica import NewsEffect, Replica
 from ragworthollow.replica.store_news import (
     RetainedKey,
@@ -10,18 +11,17 @@
     UpdateRequest,
 )
 from ragworthollow.replica.store_view import StoreView
-from ragworthollow.replica.update_codec import decode_update, encode_update
 
 __all__ = (
-    'Evidence',
     'FollowPaces',
+    'Freshness',
     'NewsEffect',
-    'UpdatedKey',
-    'UpdateRequest',
     'Replica',
     'RetainedKey',
     'StoreNews',
     'StoreView',
+    'UpdateRequest',
+    'UpdatedKey',
     'decode_update',
     'derive_paces',
     'encode_update',
