--- a/packages/ragworthollow-daemon/src/ragworthollow_daemon/gateway/context.py
+++ b/packages/ragworthollow-daemon/src/ragworthollow_daemon/gateway/context.py
@@ -52,7 +52,7 @@
         settings: GatewaySettings,
         ask_to_stop: Callable[[], None] = _send_sigterm,
     ) -> None:
-        self._ask_to_stop = ask_to_stop
+        self._request_shutdown = ask_to_stop
         self.settings = settings
         self.incarnation = make_identifier()
         self.metrics = Metrics()
@@ -208,7 +208,7 @@
 
     def _handle_loop_end(self, task: asyncio.Task[None]) -> None:
         if not task.cancelled() and task.exception() is not None:
-            self._ask_to_stop()
+            self._request_shutdown()
 
     def _handle_task_end(self, task: asyncio.Task[None]) -> None:
         self._tasks.discard(task)
--- a/packages/ragworthollow-daemon/src/ragworthollow_daemon/gateway/instances_follower.py
+++ b/packages/ragworthollow-daemon/src/ragworthollow_daemon/gateway/instances_follower.py
@@ -86,7 +86,7 @@
         Parameters
         ----------
         listed : sequence of UpstreamInstance
-            All listed instances, including those that are leaving.
+            All listed instances, including those that are shutting down.
         sent_ms : float
             Time as of which they are known to be up to date, on the monotonic
             clock.
--- a/packages/ragworthollow-daemon/src/ragworthollow_daemon/gateway/peer_routes.py
+++ b/packages/ragworthollow-daemon/src/ragworthollow_daemon/gateway/peer_routes.py
@@ -92,7 +92,7 @@
         return application
 
     async def handle_ping(self, request: web.Request) -> web.Response:
-        """Report the state of this gateway, and store that of the sender."""
+        """Apply the ping of a peer, and respond with this gateway's state."""
         body = await request.read()
         try:
             ping = msgspec.json.decode(body, type=GatewayPing)
--- a/packages/ragworthollow-daemon/src/ragworthollow_daemon/gateway/role.py
+++ b/packages/ragworthollow-daemon/src/ragworthollow_daemon/gateway/role.py
@@ -158,7 +158,7 @@
         await self.context.stop.wait(global_settings.GATEWAY_BALANCER_LAG_MS)
         remaining_ms = self.context.stop.get_left_ms(get_boottime_ms())
         if not await self.context.drain.wait_quiet(remaining_ms):
-            self.context.stop.give_up()
+            self.context.stop.abort()
             await self.context.drain.wait_quiet(
                 global_settings.GATEWAY_LAST_ANSWERS_MS,
             )
--- a/packages/ragworthollow-daemon/src/ragworthollow_daemon/gateway/shutdown_state.py
+++ b/packages/ragworthollow-daemon/src/ragworthollow_daemon/gateway/shutdown_state.py
@@ -48,9 +48,9 @@
         """Return the time left in which requests can still finish."""
         return self._deadline_ms - now_ms
 
-    async def wait(self, longest_ms: float) -> None:
-        """Wait for `longest_ms`, but only while requests can still finish."""
-        wait_until_ms = min(get_boottime_ms() + longest_ms, self._deadline_ms)
+    async def wait(self, max_ms: float) -> None:
+        """Wait for `max_ms`, but only while requests can still finish."""
+        wait_until_ms = min(get_boottime_ms() + max_ms, self._deadline_ms)
         while get_boottime_ms() < wait_until_ms:
             await asyncio.sleep(global_settings.STOP_STEP_MS / _MILLISECONDS)
 
@@ -74,7 +74,7 @@
             return since_stop_ms < global_settings.GATEWAY_LATE_STREAM_MS
         return limit_ms < self.get_left_ms(now_ms)
 
-    def give_up(self) -> None:
+    def abort(self) -> None:
         """Abort unanswered work, so that its callers get a response."""
         self._abort_requested.set()
 
--- a/packages/ragworthollow-daemon/src/ragworthollow_daemon/gateway/store_follower.py
+++ b/packages/ragworthollow-daemon/src/ragworthollow_daemon/gateway/store_follower.py
@@ -151,7 +151,7 @@
 
         Parameters
         ----------
-        news : StoreNews
+        update : StoreNews
             The update.
         sent_ms : float
             When it was requested, on CLOCK_BOOTTIME.
@@ -198,10 +198,10 @@
         return self._context.store.timeline > self._replica.view.timeline
 
     def _get_max_staleness_ms(self) -> float:
-        place = self._get_place()
-        if place is None:
+        rank = self._get_place()
+        if rank is None:
             return self._max_staleness_ms
-        return self._paces.get_read_ms(place)
+        return self._paces.get_read_ms(rank)
 
     async def _fetch_peer_updates(self) -> bool:
         """
@@ -241,9 +241,9 @@
             ),
         )
         if isinstance(changes, Err):
-            # The watch may fail while the store still answers reads.  Without
-            # a full read, an instance that shuts down in the meantime would
-            # get work until the watch recovers.
+            # A watch may stall while the store still answers reads.  Without a
+            # full read, an instance that shuts down in the meantime would get
+            # work until the watch recovers.
             self._next_full_read_ms = now_ms
             return changes
         if changes.ok_value is None or not self._replica.apply(
@@ -266,7 +266,8 @@
         previous = self._replica.view.get_position()
         if self._replica.replace(snapshot.ok_value, now_ms):
             self._reporter.record_restore(previous)
-            # Lost records reappear like those that expire during an outage.
+            # Lost records are written again, like records that have expired
+            # during an outage.
             for follower in self._followers:
                 follower.note_lost('restored from a copy')
         self._context.metrics.count_event('store_read_whole')
--- a/packages/ragworthollow-daemon/src/ragworthollow_daemon/gateway/store_poller_factory.py
+++ b/packages/ragworthollow-daemon/src/ragworthollow_daemon/gateway/store_poller_factory.py
@@ -19,7 +19,7 @@
     followers: Sequence[Follower],
 ) -> StoreFollower:
     """
-    Create the store follower with polling intervals from the settings.
+    Create the store poller with polling intervals from the settings.
 
     Parameters
     ----------
@@ -28,7 +28,7 @@
     members : GatewayMembers
         Gateways of the cluster.
     followers : sequence of Follower
-        Followers, in the order in which they are notified.
+        Subscribers, in the order in which they are notified.
     """
     settings = context.settings
     update_client = UpdateClient(context=context, members=members)
--- a/packages/ragworthollow/src/ragworthollow/replica/follow_paces.py
+++ b/packages/ragworthollow/src/ragworthollow/replica/follow_paces.py
@@ -40,7 +40,8 @@
             Rank of this gateway among the readers, 0 for the first.
         """
         return min(
-            self.trust_ms, self.reader_staleness_ms + rank * self.step_ms
+            self.trust_ms,
+            self.reader_staleness_ms + rank * self.step_ms,
         )
 
 
--- a/packages/ragworthollow/src/ragworthollow/replica/replica.py
+++ b/packages/ragworthollow/src/ragworthollow/replica/replica.py
@@ -158,9 +158,7 @@
             revision=self.view.revision,
             age_ms=self.evidence.get_age_ms(now_ms),
             timeline=self.view.timeline,
-            retained=self._retained.list_for_peer(now_ms)
-            if may_be_snapshot
-            else (),
+            retained=self._retained.export(now_ms) if may_be_snapshot else (),
         )
         if changes is None or _get_size(changes) > longest_bytes:
             return update
--- a/packages/ragworthollow/src/ragworthollow/replica/retained_keys.py
+++ b/packages/ragworthollow/src/ragworthollow/replica/retained_keys.py
@@ -27,12 +27,11 @@
     A store that is restored from a backup has lost the last seconds of
     accepted changes.  Their writers write them again after a while.  Until
     then an accepted change must not be undone: otherwise a revoked key would
-    be accepted again, and an instance that is leaving would get work.
+    be accepted again, and an instance that is shutting down would get work.
 
     Each value is retained until the store shows that its key was written
-    again, and for a limited time in case it never is.  A value that is
-    newer than the store's by its own content is retained until the store has
-    caught up.
+    again, and for a limited time in case it never is.  A value whose content
+    proves it newer than the store's is retained until the store has caught up.
 
     Parameters
     ----------
@@ -158,7 +157,7 @@
         self._retained.update(added)
         return bool(added)
 
-    def list_for_peer(self, now_ms: float) -> tuple[RetainedKey, ...]:
+    def export(self, now_ms: float) -> tuple[RetainedKey, ...]:
         """Return the retained keys as sent to a peer."""
         max_left_ms = global_settings.RESTORED_RETENTION_MS
         return tuple(
