--- a/packages/ragworthollow-daemon/src/ragworthollow_daemon/gateway/store_follower.py
+++ b/packages/ragworthollow-daemon/src/ragworthollow_daemon/gateway/store_follower.py
@@ -90,10 +90,10 @@
         spread: float = 0,
     ) -> None:
         self._context = context
-        self._followers = followers
+        self._subscribers = followers
         self._replica = replica
-        self._paces = paces
-        self._get_place = get_place
+        self._intervals = paces
+        self._get_reader_rank = get_place
         self._ask_peers = ask_peers
         self._max_staleness_ms = paces.trust_ms * (1 - spread)
         self._next_full_read_ms = float('-inf')
@@ -114,7 +114,7 @@
             if failures:
                 pause_ms = get_retry_delay_ms(
                     failures,
-                    self._paces.max_retry_ms,
+                    self._intervals.max_retry_ms,
                 )
                 await asyncio.sleep(pause_ms / _MILLISECONDS)
             await self._wait_until_stale()
@@ -135,8 +135,8 @@
         self._reporter.record_read(sent_ms, read)
         if isinstance(read, Err):
             if not await self._fetch_peer_updates():
-                for follower in self._followers:
-                    follower.note_lost(str(read.err_value))
+                for subscriber in self._subscribers:
+                    subscriber.note_lost(str(read.err_value))
             return False
         self._replica.evidence.note(sent_ms)
         self._notify()
@@ -198,10 +198,10 @@
         return self._context.store.timeline > self._replica.view.timeline
 
     def _get_max_staleness_ms(self) -> float:
-        rank = self._get_place()
+        rank = self._get_reader_rank()
         if rank is None:
             return self._max_staleness_ms
-        return self._paces.get_read_ms(rank)
+        return self._intervals.get_read_ms(rank)
 
     async def _fetch_peer_updates(self) -> bool:
         """
@@ -225,8 +225,8 @@
         age_ms = self._replica.evidence.get_age_ms(now_ms)
         confirmed_ms = get_monotonic_ms() - age_ms
         entries = self._replica.get_found(now_ms)
-        for follower in self._followers:
-            follower.take(entries, confirmed_ms)
+        for subscriber in self._subscribers:
+            subscriber.take(entries, confirmed_ms)
 
     async def _read(self) -> Result[None, PlatformError]:
         now_ms = get_boottime_ms()
@@ -268,8 +268,8 @@
             self._reporter.record_restore(previous)
             # Lost records are written again, like records that have expired
             # during an outage.
-            for follower in self._followers:
-                follower.note_lost('restored from a copy')
+            for subscriber in self._subscribers:
+                subscriber.note_lost('restored from a copy')
         self._context.metrics.count_event('store_read_whole')
         is_short = now_ms - began_ms <= global_settings.STORE_REREAD_LONGEST_MS
         self._last_full_read_ms = now_ms
