--- a/packages/ragworthollow-daemon/src/ragworthollow_daemon/gateway/peer_routes.py
+++ b/packages/ragworthollow-daemon/src/ragworthollow_daemon/gateway/peer_routes.py
@@ -1,4 +1,4 @@
-"""Serve other gateways."""
+"""Serve the HTTP endpoints for peer gateways."""
 
 import msgspec
 from aiohttp import web
@@ -8,7 +8,7 @@
 from ragworthollow.membership.gateway_member import GatewayMember
 from ragworthollow.membership.gateway_members import GatewayMembers
 from ragworthollow.platform.store_position import StorePosition
-from ragworthollow.replica import NewsQuestion, encode_news
+from ragworthollow.replica import UpdateRequest, encode_update
 from ragworthollow.transport.host_messages import (
     CHANGE_PATH,
     PING_PATH,
@@ -38,31 +38,31 @@
     hear_limits,
     tell_limits,
 )
-from ragworthollow_daemon.gateway.news_client import NEWS_PATH
 from ragworthollow_daemon.gateway.piece_exchange import (
     FREE_PATH,
     RUN_PATH,
     tell_released,
 )
 from ragworthollow_daemon.gateway.piece_service import PieceService
+from ragworthollow_daemon.gateway.update_client import UPDATE_PATH
 
 _BAD_REQUEST = 400
 
 
 class PeerRoutes:
     """
-    Let other gateways use the gates hosted here.
+    Handle the requests of peer gateways.
 
     Parameters
     ----------
     context : GatewayContext
-        Of this process.
+        Shared state of this gateway.
     members : GatewayMembers
-        The other gateways.
+        Gateways of the cluster.
     service : PieceService
-        The gates.
+        Runs pieces in the schedulers that this gateway hosts.
     handover : GateHandover
-        Takes gates over.
+        Accepts schedulers from their previous hosts.
     """
 
     def __init__(
@@ -79,20 +79,20 @@
         self._service = service
 
     def make_application(self) -> web.Application:
-        """Make the application for the peer address."""
+        """Create the web application for the peer address."""
         application = web.Application(
             client_max_size=global_settings.MAX_BODY_BYTES,
         )
-        application.router.add_post(PING_PATH, self.answer_ping)
-        application.router.add_post(CHANGE_PATH, self.learn_change)
-        application.router.add_post(NEWS_PATH, self.tell_news)
+        application.router.add_post(PING_PATH, self.handle_ping)
+        application.router.add_post(CHANGE_PATH, self.apply_member_change)
+        application.router.add_post(UPDATE_PATH, self.send_update)
         application.router.add_post(RUN_PATH, self.run_pieces)
-        application.router.add_post(FREE_PATH, self.free_results)
-        application.router.add_post(TRANSFER_PATH, self.take_gate)
+        application.router.add_post(FREE_PATH, self.release_results)
+        application.router.add_post(TRANSFER_PATH, self.apply_transfer)
         return application
 
-    async def answer_ping(self, request: web.Request) -> web.Response:
-        """Say who is alive here, and take what work will come."""
+    async def handle_ping(self, request: web.Request) -> web.Response:
+        """Apply the ping of a peer, and respond with this gateway's state."""
         body = await request.read()
         try:
             ping = msgspec.json.decode(body, type=GatewayPing)
@@ -133,24 +133,24 @@
             ),
         )
 
-    async def tell_news(self, request: web.Request) -> web.Response:
-        """Tell a gateway that cannot read the store what it holds."""
+    async def send_update(self, request: web.Request) -> web.Response:
+        """Send an update of the store to a gateway that cannot read it."""
         body = await request.read()
         try:
-            question = msgspec.json.decode(body, type=NewsQuestion)
+            update_request = msgspec.json.decode(body, type=UpdateRequest)
         except msgspec.DecodeError as error:
             return respond(Problem(error=str(error)), status=_BAD_REQUEST)
         self._context.metrics.count_event('store_news_told')
-        news = self._context.replica.make_news(
-            after=question.get_position(),
+        update = self._context.replica.make_news(
+            after=update_request.get_position(),
             now_ms=get_boottime_ms(),
             longest_bytes=float('inf'),
             may_be_snapshot=True,
         )
-        return web.Response(body=encode_news(news))
+        return web.Response(body=encode_update(update))
 
-    async def learn_change(self, request: web.Request) -> web.Response:
-        """Take what another gateway says of itself."""
+    async def apply_member_change(self, request: web.Request) -> web.Response:
+        """Apply a gateway's announcement that it joins or leaves."""
         body = await request.read()
         try:
             change = msgspec.json.decode(body, type=MemberChange)
@@ -168,7 +168,7 @@
         return web.Response()
 
     async def run_pieces(self, request: web.Request) -> web.Response:
-        """Have pieces done; an asker who leaves takes them back."""
+        """Run pieces; they are cancelled if the requester disconnects."""
         body = await request.read()
         try:
             order = msgspec.json.decode(body, type=PiecesOrder)
@@ -177,18 +177,18 @@
         now_ms = get_monotonic_ms()
         self._service.askers.meet(order.asker, now_ms)
         pieces = decode_pieces(order, now_ms)
-        # A host that stops sees the pieces of others to their end.
+        # A stopping host still finishes the pieces of its peers.
         with self._context.drain.serving():
-            found = await self._service.run(order.pool, pieces)
-        return respond(encode_results(found))
+            results = await self._service.run(order.pool, pieces)
+        return respond(encode_results(results))
 
-    async def free_results(self, request: web.Request) -> web.Response:
+    async def release_results(self, request: web.Request) -> web.Response:
         """
-        Give results up, through the gate that counts their space.
+        Release results through the scheduler that accounts for their space.
 
-        Whoever asks may not know yet that another gateway hosts the gate: the
-        account of its results has gone there, and would count them as taking
-        space until they expire.
+        The sender may not know yet that another gateway now hosts the
+        scheduler.  The accounting has moved to that gateway, which would count
+        the results as occupying space until they expire.
         """
         body = await request.read()
         try:
@@ -211,8 +211,8 @@
         if not await tell_released(self._context, host, forwarded):
             self._service.free(release.pool, release.handles)
 
-    async def take_gate(self, request: web.Request) -> web.Response:
-        """Take what another gateway has in hand."""
+    async def apply_transfer(self, request: web.Request) -> web.Response:
+        """Take over a scheduler's state from its previous host."""
         body = await request.read()
         try:
             transfer = msgspec.json.decode(body, type=GateTransfer)
--- a/packages/ragworthollow-daemon/src/ragworthollow_daemon/gateway/following.py
+++ b/packages/ragworthollow-daemon/src/ragworthollow_daemon/gateway/store_poller_factory.py
@@ -1,4 +1,4 @@
-"""Assemble what keeps a gateway's copy of the store young."""
+"""Create the components that keep a gateway's replica of the store fresh."""
 
 from collections.abc import Sequence
 
@@ -8,30 +8,30 @@
 from ragworthollow.replica import derive_paces
 from ragworthollow_daemon.gateway.context import GatewayContext
 from ragworthollow_daemon.gateway.host_pings import HostPings
-from ragworthollow_daemon.gateway.news_client import NewsClient
 from ragworthollow_daemon.gateway.store_follower import Follower, StoreFollower
+from ragworthollow_daemon.gateway.update_client import UpdateClient
 
 
-def make_store_follower(
+def make_store_poller(
     *,
     context: GatewayContext,
     members: GatewayMembers,
     followers: Sequence[Follower],
 ) -> StoreFollower:
     """
-    Make the follower of a gateway, with paces from its bounds.
+    Create the store poller with polling intervals from the settings.
 
     Parameters
     ----------
     context : GatewayContext
-        Of this process.
+        Shared state of this gateway.
     members : GatewayMembers
-        The other gateways.
+        Gateways of the cluster.
     followers : sequence of Follower
-        In the order in which they are told.
+        Subscribers, in the order in which they are notified.
     """
     settings = context.settings
-    peers = NewsClient(context=context, members=members)
+    update_client = UpdateClient(context=context, members=members)
     return StoreFollower(
         context=context,
         followers=followers,
@@ -41,12 +41,12 @@
             heartbeat_ms=settings.instance_heartbeat_ms,
         ),
         get_place=members.get_reader_place,
-        ask_peers=peers.ask,
+        ask_peers=update_client.request_updates,
         spread=context.rng.uniform(0, global_settings.TRUST_SPREAD),
     )
 
 
-def make_host_pings(
+def make_host_pinger(
     *,
     context: GatewayContext,
     members: GatewayMembers,
@@ -54,18 +54,18 @@
     follower: StoreFollower,
 ) -> HostPings:
     """
-    Make what asks hosts, and takes what they tell of the store.
+    Create the component that pings hosts and applies their store updates.
 
     Parameters
     ----------
     context : GatewayContext
-        Of this process.
+        Shared state of this gateway.
     members : GatewayMembers
-        The other gateways.
+        Gateways of the cluster.
     announced : AnnouncedWork
-        Work that hosts are told of.
+        Work that is announced to hosts.
     follower : StoreFollower
-        Keeps the copy of the store.
+        Applies the updates to the replica of the store.
     """
     return HostPings(
         context=context,
--- a/packages/ragworthollow/src/ragworthollow/replica/__init__.py
+++ b/packages/ragworthollow/src/ragworthollow/replica/__init__.py
@@ -1,28 +1,28 @@
-"""Know what the store holds, and since when that is known."""
+"""Replicate the store, and track how fresh the replica is."""
 
-from ragworthollow.replica.evidence import Evidence
+from ragworthollow.replica.evidence import Freshness
 from ragworthollow.replica.follow_paces import FollowPaces, derive_paces
-from ragworthollow.replica.news_codec import decode_news, encode_news
+from ragworthollow.replica.news_codec import decode_update, encode_update
 from ragworthollow.replica.replica import NewsEffect, Replica
 from ragworthollow.replica.store_news import (
-    NewsKey,
-    NewsQuestion,
     RetainedKey,
     StoreNews,
+    UpdatedKey,
+    UpdateRequest,
 )
 from ragworthollow.replica.store_view import StoreView
 
 __all__ = (
-    'Evidence',
     'FollowPaces',
+    'Freshness',
     'NewsEffect',
-    'NewsKey',
-    'NewsQuestion',
     'Replica',
     'RetainedKey',
     'StoreNews',
     'StoreView',
-    'decode_news',
+    'UpdateRequest',
+    'UpdatedKey',
+    'decode_update',
     'derive_paces',
-    'encode_news',
+    'encode_update',
 )
--- a/packages/ragworthollow/src/ragworthollow/replica/evidence.py
+++ b/packages/ragworthollow/src/ragworthollow/replica/evidence.py
@@ -1,42 +1,44 @@
-"""Keep since when a copy of the store is known to be the newest."""
+"""Track as of when a replica of the store is known to be up to date."""
 
 import math
 
 
-class Evidence:
+class Freshness:
     """
-    Hold the youngest proof that nothing newer was in the store.
-
-    A read that the store answers proves that its state was the newest when
-    the read began.  Whoever holds that state holds the proof too, so that a
-    gateway may take it from another one.  Clocks of two machines are not
-    compared: a proof is told with its age, and counts from before it was
-    asked for, however long the answer took.
-
-    Times are on the clock that goes on while a machine is suspended.  One
-    that stands still would tell others of a proof that is seconds older.
+    Hold the latest time at which the replica was known to be up to date.
+
+    A successful read confirms that the state it returned was current when the
+    read began.  The confirmation applies to every copy of that state, so a
+    gateway may accept it from a peer.  Clocks of different machines are not
+    compared: a confirmation is sent with its age, which the receiver subtracts
+    from the time at which it sent its request, so that the response time never
+    makes the confirmation look fresher.
+
+    Times are on CLOCK_BOOTTIME, which includes time in suspend.  With a clock
+    that stops during suspend, a gateway would report a confirmation to its
+    peers as seconds fresher than it is.
     """
 
     def __init__(self) -> None:
-        self._proved_ms = float('-inf')
+        self._confirmed_ms = float('-inf')
 
-    def note(self, proved_ms: float) -> bool:
+    def note(self, confirmed_ms: float) -> bool:
         """
-        Take a proof, and tell whether it is younger than all before.
+        Record a confirmation; return whether it is the latest so far.
 
         Parameters
         ----------
-        proved_ms : float
-            Moment at which the copy is known to have been the newest.
+        confirmed_ms : float
+            Time at which the replica is known to have been up to date.
         """
-        is_younger = proved_ms > self._proved_ms
-        self._proved_ms = max(self._proved_ms, proved_ms)
-        return is_younger
+        is_fresher = confirmed_ms > self._confirmed_ms
+        self._confirmed_ms = max(self._confirmed_ms, confirmed_ms)
+        return is_fresher
 
     def is_known(self) -> bool:
-        """Tell whether there is any proof."""
-        return math.isfinite(self._proved_ms)
+        """Return whether any confirmation has been recorded."""
+        return math.isfinite(self._confirmed_ms)
 
     def get_age_ms(self, now_ms: float) -> float:
-        """Return how long ago the copy was the newest for certain."""
-        return now_ms - self._proved_ms
+        """Return the time since the replica was known to be up to date."""
+        return now_ms - self._confirmed_ms
