--- a/packages/ragworthollow-daemon/src/ragworthollow_daemon/gateway/admission.py
+++ b/packages/ragworthollow-daemon/src/ragworthollow_daemon/gateway/admission.py
@@ -1,4 +1,4 @@
-"""Decide which requests of callers are taken."""
+"""Admit requests from callers or refuse them."""
 
 import asyncio
 
@@ -18,23 +18,23 @@
 from ragworthollow_daemon.gateway.upstream_failure import UpstreamFailure
 
 _STEP = 'front'
-# Digits of a key's hash in a log line: enough to tell keys apart.
-_KEY_DIGITS = 12
+# Length of the key hash prefix in log lines; enough to distinguish keys.
+_KEY_HASH_DIGITS = 12
 
 
 class Admission:
     """
-    Judge requests by the configuration in force.
+    Admit requests according to the active configuration.
 
     Parameters
     ----------
     context : GatewayContext
-        Of this process.
+        Shared state of this process.
     """
 
     def __init__(self, *, context: GatewayContext) -> None:
         self._context = context
-        self._usual_limits = UsualLimits()
+        self._typical_limits = UsualLimits()
 
     async def admit(
         self,
@@ -42,85 +42,104 @@
         received_ms: float,
     ) -> Result[RequestJob, UpstreamFailure]:
         """
-        Take a request, once its body is here, or say why not.
+        Admit or refuse a request, reading its body.
 
         Parameters
         ----------
         request : BaseRequest
-            Its body not yet read.
+            Request whose body has not been read yet.
         received_ms : float
-            When its head was here, on the monotonic clock.
+            Time on the monotonic clock, in milliseconds, at which the
+            request headers had arrived.
+
+        Returns
+        -------
+        Result
+            The admitted request, or the refusal.
         """
-        terms = read_terms(request.headers)
-        table = await self._wait_configured(terms)
+        request_parameters = read_terms(request.headers)
+        table = await self._wait_for_route_table(request_parameters)
         if table is None:
             return _refuse(Reason.not_configured, request.remote)
         path = request.raw_path.partition('?')[0]
         route = table.match(request.headers.get('Host', ''), path)
         if route is None:
             return _refuse(Reason.unknown_route, path)
-        identified = _identify(table, route, terms.key)
-        if isinstance(identified, Err):
-            return identified
+        holder_result = _find_key_holder(table, route, request_parameters.key)
+        if isinstance(holder_result, Err):
+            return holder_result
         limit_ms = route.timeout_ms
-        if terms.time_limit_ms is not None:
-            limit_ms = min(limit_ms, terms.time_limit_ms)
-        received = await _read_body(
+        if request_parameters.time_limit_ms is not None:
+            limit_ms = min(limit_ms, request_parameters.time_limit_ms)
+        body_result = await _read_body(
             request, table.limits.body_bytes, limit_ms, route.name
         )
-        if isinstance(received, Err):
-            return received
+        if isinstance(body_result, Err):
+            return body_result
         if not self._context.stop.accepts(route, limit_ms, get_boottime_ms()):
-            return Err(make_stopping(route.name, Outcome.not_run))
+            return Err(make_shutdown_failure(route.name, Outcome.not_run))
         return Ok(
             RequestJob(
                 request=request,
-                body=received.ok_value,
-                terms=terms,
+                body=body_result.ok_value,
+                terms=request_parameters,
                 route=route,
-                holder=identified.ok_value,
+                holder=holder_result.ok_value,
                 pool=self._choose_pool(route),
                 table=table,
-                waited_ms=self._find_waited_ms(route, terms),
-                fingerprint=_identify_work(
+                waited_ms=self._find_waited_ms(route, request_parameters),
+                fingerprint=_make_work_fingerprint(
                     request,
-                    identified.ok_value,
-                    received.ok_value,
+                    holder_result.ok_value,
+                    body_result.ok_value,
                 ),
                 received_ms=received_ms,
                 deadline_ms=received_ms + limit_ms,
             ),
         )
 
-    async def _wait_configured(self, terms: RequestTerms) -> RouteTable | None:
+    async def _wait_for_route_table(
+        self,
+        request_parameters: RequestTerms,
+    ) -> RouteTable | None:
         """
-        Return the table in force, waiting for a first one if need be.
+        Return the active route table, waiting for the first one if needed.
 
-        When all gateways return before the store does, none knows a route.
-        Callers that are refused come back to others that know none either;
-        most of these outages end within a second or two.
+        When all gateways restart before the store is available again, none
+        of them has any routes, so refused callers can only retry at gateways
+        without routes either.  Most of these outages end within a second
+        or two.
         """
         context = self._context
-        if context.table is None and terms.time_limit_ms is not None:
+        if (
+            context.table is None
+            and request_parameters.time_limit_ms is not None
+        ):
             share = global_settings.CONFIGURATION_WAIT_SHARE
-            await context.wait_table(terms.time_limit_ms * share)
+            await context.wait_table(request_parameters.time_limit_ms * share)
         return context.table
 
-    def _find_waited_ms(self, route: Route, terms: RequestTerms) -> float:
-        if terms.time_limit_ms is None:
+    def _find_waited_ms(
+        self,
+        route: Route,
+        request_parameters: RequestTerms,
+    ) -> float:
+        if request_parameters.time_limit_ms is None:
             return 0
-        return self._usual_limits.note(route.name, terms.time_limit_ms)
+        return self._typical_limits.note(
+            route.name, request_parameters.time_limit_ms
+        )
 
     def _choose_pool(self, route: Route) -> str:
-        weights = [share.weight for share in route.shares]
+        weights = [weighted_pool.weight for weighted_pool in route.shares]
         if not any(weights):
             return route.shares[0].pool
         chosen = self._context.rng.choices(route.shares, weights)
         return chosen[0].pool
 
 
-def make_stopping(peer: str, outcome: Outcome) -> UpstreamFailure:
-    """Make the failure of a request that this process will not finish."""
+def make_shutdown_failure(peer: str, outcome: Outcome) -> UpstreamFailure:
+    """Make the failure of a request that is cut off by a shutdown."""
     return UpstreamFailure(
         outcome=outcome,
         reason=Reason.draining,
@@ -136,7 +155,7 @@
     detail: str = '',
     retry_after_ms: float | None = None,
 ) -> UpstreamFailure:
-    """Make the failure of a request for which nothing was sent."""
+    """Make the failure of a request of which nothing was sent upstream."""
     return UpstreamFailure(
         outcome=Outcome.not_run,
         reason=reason,
@@ -155,25 +174,25 @@
     return Err(make_refusal(reason, peer, detail))
 
 
-def _name_key(key: str) -> str:
-    """Name a key so that operators find it and nobody can use it."""
+def _describe_key(key: str) -> str:
+    """Describe a key for operators without revealing it."""
     if not key:
         return 'no key'
-    return f'key with SHA-256 {hash_secret(key)[:_KEY_DIGITS]}'
+    return f'key with SHA-256 {hash_secret(key)[:_KEY_HASH_DIGITS]}'
 
 
-def _identify(
+def _find_key_holder(
     table: RouteTable,
     route: Route,
     key: str,
 ) -> Result[KeyHolder | None, UpstreamFailure]:
     holder = table.identify(key) if key else None
     if holder is None and table.requires_key and not route.is_public:
-        return _refuse(Reason.unauthorized, route.name, _name_key(key))
+        return _refuse(Reason.unauthorized, route.name, _describe_key(key))
     return Ok(holder)
 
 
-def _identify_work(
+def _make_work_fingerprint(
     request: web.BaseRequest,
     holder: KeyHolder | None,
     body: bytes,
@@ -194,13 +213,14 @@
     route_name: str,
 ) -> Result[bytes, UpstreamFailure]:
     """
-    Read a whole body.
+    Read the full body within the time limit of the request.
 
-    A caller that stops in the middle of one would be held for ever.
+    Without a time limit, a caller that stops sending in the middle of the
+    body would keep its connection open indefinitely.
     """
     try:
         async with asyncio.timeout(limit_ms / 1000):
-            body = await _collect(request, limit_bytes)
+            body = await _collect_body(request, limit_bytes)
     except TimeoutError:
         return _refuse(Reason.body_too_slow, route_name)
     if body is None:
@@ -208,11 +228,11 @@
     return Ok(body)
 
 
-async def _collect(
+async def _collect_body(
     request: web.BaseRequest,
     limit_bytes: int,
 ) -> bytes | None:
-    """Read a whole body; None when it is longer than allowed."""
+    """Return the full body, or None if it exceeds the size limit."""
     if not request.body_exists:
         return b''
     chunks: list[bytes] = []
--- a/packages/ragworthollow-daemon/src/ragworthollow_daemon/gateway/event_splitter.py
+++ b/packages/ragworthollow-daemon/src/ragworthollow_daemon/gateway/event_splitter.py
@@ -1,51 +1,51 @@
-"""Cut an event stream into whole events."""
+"""Split an event stream into complete events."""
 
 _SEPARATOR = b'\n\n'
 _ID_FIELD = b'id:'
 
 
-class EventSplitter:
+class EventBuffer:
     """
-    Collect bytes and give out whole events only.
+    Buffer received bytes and return complete events only.
 
-    An upstream may break off in the middle of an event.  A caller that has
-    the beginning of one could not go on at another upstream, since ids name
-    whole events.
+    An upstream may disconnect in the middle of an event.  A caller that has
+    received part of an event could not resume at another upstream, since
+    event ids identify complete events.
     """
 
     def __init__(self) -> None:
-        self._rest = b''
+        self._incomplete = b''
         self.last_event_id = ''
 
     def feed(self, chunk: bytes) -> bytes:
         """
-        Add bytes.
+        Add received bytes.
 
         Returns
         -------
         bytes
-            The whole events that are complete now, unchanged.
+            The events that are complete now, unchanged; may be empty.
         """
-        data = self._rest + chunk
+        data = self._incomplete + chunk
         end = data.rfind(_SEPARATOR)
         if end < 0:
-            self._rest = data
+            self._incomplete = data
             return b''
         end += len(_SEPARATOR)
-        self._rest = data[end:]
-        whole = data[:end]
-        self._note_id(whole)
-        return whole
-
-    def take_rest(self) -> bytes:
-        """Return what has come of an event that is not whole."""
-        rest = self._rest
-        self._rest = b''
-        return rest
-
-    def _note_id(self, whole: bytes) -> None:
-        for line in reversed(whole.split(b'\n')):
+        self._incomplete = data[end:]
+        complete = data[:end]
+        self._record_last_id(complete)
+        return complete
+
+    def pop_incomplete(self) -> bytes:
+        """Remove and return the bytes of an incomplete event."""
+        incomplete = self._incomplete
+        self._incomplete = b''
+        return incomplete
+
+    def _record_last_id(self, complete: bytes) -> None:
+        for line in reversed(complete.split(b'\n')):
             if line.startswith(_ID_FIELD):
-                found = line[len(_ID_FIELD) :].strip()
-                self.last_event_id = found.decode('latin-1')
+                event_id = line[len(_ID_FIELD) :].strip()
+                self.last_event_id = event_id.decode('latin-1')
                 return
--- a/packages/ragworthollow-daemon/src/ragworthollow_daemon/gateway/instances_follower.py
+++ b/packages/ragworthollow-daemon/src/ragworthollow_daemon/gateway/instances_follower.py
@@ -1,4 +1,4 @@
-"""Keep the list of upstream instances in force."""
+"""Keep the list of upstream instances up to date."""
 
 import dataclasses
 from collections.abc import (
@@ -25,16 +25,16 @@
 
 class InstancesFollower:
     """
-    Take the whole list from each read of the store.
+    Replace the list of instances after each read of the store.
 
     Parameters
     ----------
     context : GatewayContext
-        Of this process.
+        Shared state of this gateway.
     on_change : callable
-        Called after instances appeared, left or started again.
+        Called after instances have appeared, left or restarted.
     on_restart : callable
-        Called with the name of each instance that started again under it.
+        Called with the name of each instance that has restarted.
     """
 
     def __init__(
@@ -49,55 +49,57 @@
         self._on_restart = on_restart
         self._decoded: dict[str, tuple[Stored, UpstreamInstance | None]] = {}
 
-    def take(self, found: Mapping[str, Stored], asked_ms: float) -> None:
+    def take(self, entries: Mapping[str, Stored], sent_ms: float) -> None:
         """
-        Take what the store holds.
+        Apply the records of all instances and the drained domains.
 
         Parameters
         ----------
-        found : mapping of str to Stored
-            All keys.
-        asked_ms : float
-            When they were asked for, on the monotonic clock.
+        entries : mapping of str to Stored
+            All records of the store by key.
+        sent_ms : float
+            Time as of which they are known to be up to date, on the monotonic
+            clock.
         """
-        entries = {
+        instance_entries = {
             key: stored
-            for key, stored in found.items()
+            for key, stored in entries.items()
             if key.startswith(INSTANCES_PREFIX)
         }
-        drained = read_drained_domains(found)
-        self.take_instances(self._decode(entries), asked_ms, drained)
+        drained = read_drained_domains(entries)
+        self.take_instances(self._decode(instance_entries), sent_ms, drained)
 
     def note_lost(self, _detail: str) -> None:
-        """Note that the store could not be read; the list is kept."""
+        """Record that the store could not be read, and keep the list."""
         self._context.directory.note_outage()
         self._context.metrics.count_event('instance_list_unavailable')
 
     def take_instances(
         self,
         listed: Sequence[UpstreamInstance],
-        asked_ms: float,
+        sent_ms: float,
         drained: Iterable[str] = (),
     ) -> None:
         """
-        Take all instances that are listed, and forget what is gone.
+        Replace the listed instances, and discard the state of removed ones.
 
         Parameters
         ----------
         listed : sequence of UpstreamInstance
-            Leaving ones included.
-        asked_ms : float
-            When they were asked for, on the monotonic clock.
+            All listed instances, including those that are shutting down.
+        sent_ms : float
+            Time as of which they are known to be up to date, on the monotonic
+            clock.
         drained : iterable of str
-            Failure domains that are drained, as of the same moment.
+            Failure domains that are drained as of the same time.
         """
         directory = self._context.directory
-        earlier = frozenset(directory.drains.get_since_ms())
-        change = directory.replace(listed, asked_ms, drained)
-        self._log_drains(earlier, listed)
+        previously_drained = frozenset(directory.drains.get_since_ms())
+        change = directory.replace(listed, sent_ms, drained)
+        self._log_drains(previously_drained, listed)
         self._begin_warm_ups(
             change.appeared,
-            earlier - directory.drains.get_since_ms().keys(),
+            previously_drained - directory.drains.get_since_ms().keys(),
         )
         if not change:
             return
@@ -123,11 +125,11 @@
         restored: Collection[str],
     ) -> None:
         """
-        Take it that instances of a restored domain have to warm up.
+        Treat the instances of a restored domain as warming up.
 
-        They may have become cold while nothing was sent to them, and their
-        entries tell it up to a heartbeat later: all gateways would turn to the
-        least loaded instances of all at the same moment.
+        They may have gone cold while they got no requests, and their records
+        report that up to a heartbeat later.  Until then all gateways would
+        prefer them at the same time, since they have the least load.
         """
         table = self._context.table
         if not restored or table is None:
@@ -146,47 +148,49 @@
 
     def _log_drains(
         self,
-        earlier: frozenset[str],
+        previously_drained: frozenset[str],
         listed: Sequence[UpstreamInstance],
     ) -> None:
-        """Log which failure domains are drained now, and which no longer."""
-        current = self._context.directory.drains.get_since_ms().keys()
-        for domain in earlier ^ current:
+        """Log the failure domains that were drained or restored."""
+        drained = self._context.directory.drains.get_since_ms().keys()
+        for domain in previously_drained ^ drained:
             log_event(
-                'domain_drained' if domain in current else 'domain_restored',
+                'domain_drained' if domain in drained else 'domain_restored',
                 step=_STEP,
                 peer=domain,
-                instances=sum(one.failure_domain == domain for one in listed),
+                instances=sum(
+                    instance.failure_domain == domain for instance in listed
+                ),
             )
 
-    def _place(
+    def _add_region(
         self,
         instance: UpstreamInstance | None,
     ) -> UpstreamInstance | None:
-        """Add the region, which entries do not say."""
+        """Add the region, which is not part of the stored record."""
         if instance is None:
             return None
         settings = self._context.settings
         region = settings.get_region(instance.failure_domain)
         return dataclasses.replace(instance, region=region)
 
-    def _note_warm_up(self, instance: UpstreamInstance | None) -> None:
+    def _record_warm_up(self, instance: UpstreamInstance | None) -> None:
         if instance is not None:
             self._context.throttle.warm_ups.note_entry(
                 instance.get_incarnation(),
                 get_monotonic_ms() + instance.warm_up_left_ms,
             )
 
-    def _decode(self, found: dict[str, Stored]) -> list[UpstreamInstance]:
-        """Decode entries, each again only after it has changed."""
+    def _decode(self, entries: dict[str, Stored]) -> list[UpstreamInstance]:
+        """Decode records, reusing earlier results for unchanged ones."""
         decoded = {}
-        for key, stored in found.items():
-            earlier, instance = self._decoded.get(key, (Stored(), None))
-            if not stored.is_same_write(earlier):
-                instance = self._place(
+        for key, stored in entries.items():
+            previous, instance = self._decoded.get(key, (Stored(), None))
+            if not stored.is_same_write(previous):
+                instance = self._add_region(
                     decode_instance(key, stored.text.encode()),
                 )
-                self._note_warm_up(instance)
+                self._record_warm_up(instance)
             decoded[key] = (stored, instance)
         self._decoded = decoded
         return [
--- a/packages/ragworthollow-daemon/src/ragworthollow_daemon/gateway/role.py
+++ b/packages/ragworthollow-daemon/src/ragworthollow_daemon/gateway/role.py
@@ -1,4 +1,4 @@
-"""Assemble a gateway."""
+"""Assemble the components of a gateway and run them."""
 
 import asyncio
 
@@ -9,14 +9,10 @@
 from ragworthollow.membership.gateway_members import GatewayMembers
 from ragworthollow.transport.limited_server import LimitedServer
 from ragworthollow.utils import get_boottime_ms, get_monotonic_ms
-from ragworthollow_daemon.gateway.configuration_follower import (
-    ConfigurationFollower,
+from ragworthollow_daemon.gateway.configuration_subscriber import (
+    ConfigurationSubscriber,
 )
 from ragworthollow_daemon.gateway.context import GatewayContext
-from ragworthollow_daemon.gateway.following import (
-    make_host_pings,
-    make_store_follower,
-)
 from ragworthollow_daemon.gateway.front import Front
 from ragworthollow_daemon.gateway.gate_handover import GateHandover
 from ragworthollow_daemon.gateway.instances_follower import InstancesFollower
@@ -29,8 +25,12 @@
 )
 from ragworthollow_daemon.gateway.readiness import Readiness
 from ragworthollow_daemon.gateway.status_routes import StatusRoutes
+from ragworthollow_daemon.gateway.store_poller_factory import (
+    make_host_pinger,
+    make_store_poller,
+)
 
-# The drain has waited for requests already; this closes what is idle.
+# The drain has already waited for requests; only idle connections remain.
 _SHUTDOWN_S = 0.1
 
 
@@ -41,7 +41,7 @@
     Parameters
     ----------
     settings : GatewaySettings
-        Checked settings.
+        Validated settings.
     """
 
     def __init__(self, *, settings: GatewaySettings) -> None:
@@ -56,7 +56,7 @@
             context=self.context,
             members=self.members,
         )
-        self._pieces = PieceClient(
+        self._piece_client = PieceClient(
             context=self.context,
             members=self.members,
             service=self.service,
@@ -66,8 +66,8 @@
             members=self.members,
             gates=self.service.get_gates(),
         )
-        self._records = QuarantineRecords(context=self.context)
-        self._follower = make_store_follower(
+        self._quarantine_records = QuarantineRecords(context=self.context)
+        self._store_poller = make_store_poller(
             context=self.context,
             members=self.members,
             followers=(
@@ -77,26 +77,26 @@
                     on_restart=self.service.forget_incarnation,
                 ),
                 self.membership,
-                self._records,
-                ConfigurationFollower(context=self.context),
+                self._quarantine_records,
+                ConfigurationSubscriber(context=self.context),
             ),
         )
-        self._pings = make_host_pings(
+        self._host_pinger = make_host_pinger(
             context=self.context,
             members=self.members,
             announced=self.service.get_gates().announced,
-            follower=self._follower,
+            follower=self._store_poller,
         )
         self._runners: list[web.BaseRunner] = []
 
     async def start(self) -> None:
-        """Listen, then learn what is needed."""
+        """Start the listeners, then the background loops."""
         readiness = Readiness(context=self.context)
-        front = Front(
+        request_handler = Front(
             context=self.context,
-            pieces=self._pieces,
+            pieces=self._piece_client,
         )
-        peers = PeerRoutes(
+        peer_routes = PeerRoutes(
             context=self.context,
             members=self.members,
             service=self.service,
@@ -112,7 +112,7 @@
         await self._run(
             web.ServerRunner(
                 LimitedServer(
-                    front.handle,
+                    request_handler.handle,
                     get_limits=self.context.get_limits,
                 ),
                 shutdown_timeout=_SHUTDOWN_S,
@@ -121,22 +121,24 @@
         )
         await self._serve_application(
             self._settings.peer_address,
-            peers.make_application(),
+            peer_routes.make_application(),
         )
         if self._settings.metrics_address:
-            status = StatusRoutes(context=self.context, pieces=self._pieces)
+            status_routes = StatusRoutes(
+                context=self.context, pieces=self._piece_client
+            )
             await self._serve_application(
                 self._settings.metrics_address,
-                status.make_application(),
+                status_routes.make_application(),
             )
-        self.context.spawn_loop(self._follower.run())
-        self.context.spawn_loop(self._tick(front))
+        self.context.spawn_loop(self._store_poller.run())
+        self.context.spawn_loop(self._tick(request_handler))
         self.context.spawn_loop(self.membership.run())
-        self.context.spawn_loop(self._pings.run())
-        self.context.spawn_loop(self._records.run())
+        self.context.spawn_loop(self._host_pinger.run())
+        self.context.spawn_loop(self._quarantine_records.run())
 
     def begin_stop(self) -> None:
-        """Turn readiness off, and refuse what cannot be finished here."""
+        """Report as not ready, and refuse requests that cannot finish."""
         self.context.drain.is_draining = True
         self.context.stop.begin(
             get_boottime_ms(),
@@ -145,18 +147,18 @@
 
     async def stop(self) -> None:
         """
-        Serve on until the balancer has moved away and nothing is served.
+        Keep serving until the load balancer has moved away, then drain.
 
-        The balancer asks once a second and needs two negative answers, so
-        that new connections keep coming for a while; they are served like
-        any other, and each answer closes its connection.
+        The load balancer checks readiness once a second and needs two negative
+        responses, so new connections keep arriving for a while.  They are
+        served like any other, and each response closes its connection.
         """
         started_ms = get_monotonic_ms()
         await self.membership.leave()
         await self.context.stop.wait(global_settings.GATEWAY_BALANCER_LAG_MS)
-        left_ms = self.context.stop.get_left_ms(get_boottime_ms())
-        if not await self.context.drain.wait_quiet(left_ms):
-            self.context.stop.give_up()
+        remaining_ms = self.context.stop.get_left_ms(get_boottime_ms())
+        if not await self.context.drain.wait_quiet(remaining_ms):
+            self.context.stop.abort()
             await self.context.drain.wait_quiet(
                 global_settings.GATEWAY_LAST_ANSWERS_MS,
             )
@@ -170,18 +172,18 @@
         )
 
     async def close(self) -> None:
-        """Stop listening and end everything."""
+        """Close the listeners, the background loops and the sessions."""
         for runner in self._runners:
             await runner.cleanup()
         await self.context.close()
 
-    async def _tick(self, front: Front) -> None:
+    async def _tick(self, request_handler: Front) -> None:
         while True:
             await asyncio.sleep(global_settings.GATE_TICK_MS / 1000)
             self._handover.check()
-            self._pieces.tell_new_hosts()
+            self._piece_client.tell_new_hosts()
             self.service.advance_all()
-            front.advance()
+            request_handler.advance()
 
     async def _serve_application(
         self,
--- a/packages/ragworthollow/src/ragworthollow/pieces/gate.py
+++ b/packages/ragworthollow/src/ragworthollow/pieces/gate.py
@@ -1,23 +1,23 @@
-"""Decide which pieces go to which instance, and when."""
+"""Schedule the queued pieces of a pool on its instances."""
 
 import itertools
 from collections.abc import Sequence
 
 from ragworthollow.conf import global_settings
 from ragworthollow.pieces.call import PieceCall
-from ragworthollow.pieces.call_limit import find_limit
-from ragworthollow.pieces.drain_rate import DrainRate
+from ragworthollow.pieces.call_limit import find_batch_limit
+from ragworthollow.pieces.drain_rate import QueueThroughput
 from ragworthollow.pieces.order import (
-    is_held,
-    is_hopeless,
+    can_wait_for_domain,
+    choose_idle_instance,
+    get_piece_key,
+    get_queue_key,
     is_late,
-    is_patient,
-    prefer_domain,
-    rank,
-    rank_piece,
+    should_give_up,
+    should_wait_for_domain,
 )
 from ragworthollow.pieces.piece import Piece, PieceOutcome, PieceResult
-from ragworthollow.pieces.result_room import ResultRoom
+from ragworthollow.pieces.result_room import ResultSpace
 from ragworthollow.pieces.running_calls import RunningCalls
 from ragworthollow.pieces.selection import select_pieces
 from ragworthollow.pieces.waiting_piece import WaitingPiece
@@ -29,19 +29,20 @@
 
 class PieceGate:
     """
-    Queue the pieces of one pool and fill calls with them.
+    Queue the pieces of one pool and batch them into calls.
 
-    A call costs the same fixed time for one piece as for a full batch, so
-    pieces of different requests share calls.  Pieces are taken by the latest
-    start that still meets their objective; those that have missed it come
-    after all others, since an answer in time is worth several late ones.
+    Every call has a fixed cost, whether it carries one piece or a full batch,
+    so pieces of different requests share calls.  Pieces are ordered by the
+    latest start that still meets their latency objective.  Pieces that have
+    missed it come last, since one response in time is worth several late
+    responses.
     """
 
     def __init__(self) -> None:
-        self.room = ResultRoom()
+        self.room = ResultSpace()
         self._queue: list[WaitingPiece] = []
         self.running = RunningCalls()
-        self._rate = DrainRate()
+        self._throughput = QueueThroughput()
 
     def submit(self, waiting: WaitingPiece) -> None:
         """Queue a piece."""
@@ -54,62 +55,66 @@
         instances: Sequence[UpstreamInstance],
     ) -> None:
         """
-        Queue a piece again, for another instance if there is one.
+        Queue a piece again, for another instance if possible.
 
         Parameters
         ----------
         waiting : WaitingPiece
-            The piece.
+            Piece to queue.
         failed : str
-            Instance that did not make it.
+            Instance that did not return its result.
         instances : sequence of UpstreamInstance
-            Instances that may get work.
+            Instances that may receive work.
         """
         waiting.attempts += 1
         waiting.avoid.add(failed)
-        homes = waiting.piece.homes
-        allowed = [one for one in instances if may_run_in(one.region, homes)]
-        if waiting.avoid.issuperset(one.instance for one in allowed):
+        allowed_regions = waiting.piece.homes
+        allowed = [
+            instance
+            for instance in instances
+            if may_run_in(instance.region, allowed_regions)
+        ]
+        if waiting.avoid.issuperset(instance.instance for instance in allowed):
             waiting.avoid.clear()
         self._queue.append(waiting)
 
     def get_depth(self) -> int:
-        """Return the number of pieces that wait."""
+        """Return the number of queued pieces."""
         return len(self._queue)
 
     def finish(self, call: PieceCall) -> None:
-        """Note that a call has ended."""
+        """Record that a call has ended."""
         self.running.own.remove(call)
 
-    def drop_asker(self, asker: str) -> None:
-        """Want no piece any more that a gateway which is gone has asked for."""
+    def drop_asker(self, requester: str) -> None:
+        """Cancel the queued pieces of a gateway that has terminated."""
         for waiting in self._queue:
-            if waiting.piece.asker == asker:
+            if waiting.piece.asker == requester:
                 waiting.is_wanted = False
 
     def release_queue(self) -> None:
-        """Send the pieces that wait back to their askers, for another gate."""
+        """Return queued pieces to their requesters for another scheduler."""
         for waiting in self._queue:
             waiting.settle(PieceResult(outcome=PieceOutcome.moved))
         self._queue = []
 
     def refuse_queue(self) -> None:
-        """Give the pieces that wait up: no instance may make them."""
+        """Refuse all queued pieces because no instance may process them."""
         for waiting in self._queue:
             waiting.settle(PieceResult(outcome=PieceOutcome.drained))
         self._queue = []
 
-    def drop_unwanted(self, now_ms: float) -> None:
-        """Take out pieces that nobody waits for any more."""
-        staying = []
+    def drop_unawaited(self, now_ms: float) -> None:
+        """Remove pieces that are no longer awaited or are given up."""
+        remaining = []
         for waiting in self._queue:
             if not waiting.is_wanted:
                 continue
-            if is_hopeless(waiting, now_ms):
+            if should_give_up(waiting, now_ms):
                 waiting.settle(PieceResult(outcome=PieceOutcome.not_run))
                 continue
-            staying.append(waiting)
-        self._queue = staying
+            remaining.append(waiting)
+        self._queue = remaining
 
     def estimate_wait_ms(
         self,
@@ -119,22 +124,25 @@
         now_ms: float,
     ) -> float:
         """
-        Estimate how long a piece that comes now waits for its call.
+        Estimate how long a piece that arrives now waits for its call.
 
         Parameters
         ----------
         profile : PieceProfile
-            Of the pool.
+            Profile of the pool.
         instances : int
-            Instances that may get work.
+            Number of instances that may receive work.
         piece : Piece
-            Only pieces that go before it count.
+            Arriving piece; only queued pieces ahead of it count.
         now_ms : float
-            Time on the monotonic clock.
+            Current time on the monotonic clock.
         """
-        own = rank_piece(piece, now_ms)
-        ahead = sum(rank_piece(one.piece, now_ms) <= own for one in self._queue)
-        return self._estimate_ms(profile, instances, ahead, now_ms)
+        own_key = get_piece_key(piece, now_ms)
+        pieces_ahead = sum(
+            get_piece_key(waiting.piece, now_ms) <= own_key
+            for waiting in self._queue
+        )
+        return self._estimate_ms(profile, instances, pieces_ahead, now_ms)
 
     def estimate_waits_ms(
         self,
@@ -144,175 +152,191 @@
         now_ms: float,
     ) -> list[float]:
         """
-        Estimate the waits of requests that are due later than all queued.
+        Estimate the waits of requests due later than all queued pieces.
 
         Parameters
         ----------
         profile : PieceProfile
-            Of the pool.
+            Profile of the pool.
         instances : int
-            Instances that may get work.
+            Number of instances that may receive work.
         announced : sequence of int
-            Pieces that are on their way here, by priority.
+            Number of announced pieces by priority.
         now_ms : float
-            Time on the monotonic clock.
+            Current time on the monotonic clock.
 
         Returns
         -------
         list of float
-            By priority, 0 first; only pieces that are at least as urgent
-            count, so that the less urgent are refused first.
+            Waits in milliseconds by priority, 0 first.  Each counts only
+            pieces that are at least as urgent, so that less urgent requests
+            are refused first.
         """
         counts = list(announced)
-        for one in self._queue:
-            if not is_late(one.piece, now_ms):
-                counts[min(one.piece.priority, len(counts) - 1)] += 1
+        for waiting in self._queue:
+            if not is_late(waiting.piece, now_ms):
+                counts[min(waiting.piece.priority, len(counts) - 1)] += 1
         return [
-            self._estimate_ms(profile, instances, ahead, now_ms)
-            for ahead in itertools.accumulate(counts)
+            self._estimate_ms(profile, instances, pieces_ahead, now_ms)
+            for pieces_ahead in itertools.accumulate(counts)
         ]
 
     def _estimate_ms(
         self,
         profile: PieceProfile,
         instances: int,
-        ahead: int,
+        pieces_ahead: int,
         now_ms: float,
     ) -> float:
         nominal_ms = estimate_wait_ms(
-            profile, instances, self.running.own, ahead, now_ms
+            profile, instances, self.running.own, pieces_ahead, now_ms
         )
-        return max(nominal_ms, self._rate.estimate_ms(ahead))
+        return max(nominal_ms, self._throughput.estimate_ms(pieces_ahead))
 
     def plan(
         self,
         profile: PieceProfile,
         instances: Sequence[UpstreamInstance],
-        book: LoadBook,
+        load_tracker: LoadBook,
         now_ms: float,
     ) -> list[PieceCall]:
         """
-        Make the calls that are to be sent now.
+        Create the calls that are to be sent now.
 
         Parameters
         ----------
         profile : PieceProfile
-            Of the pool.
+            Profile of the pool.
         instances : sequence of UpstreamInstance
-            Instances that may get work.
-        book : LoadBook
-            Which of them are suspect.
+            Instances that may receive work.
+        load_tracker : LoadBook
+            Load and health of the instances.
         now_ms : float
-            Time on the monotonic clock.
+            Current time on the monotonic clock.
 
         Returns
         -------
         list of PieceCall
-            Each noted as running until `finish`.
+            New calls; each counts as running until it is passed to `finish`.
         """
-        self.drop_unwanted(now_ms)
+        self.drop_unawaited(now_ms)
         if not self._queue:
-            self._rate.note(started=0, is_backlogged=False, now_ms=now_ms)
+            self._throughput.record(
+                started=0, is_backlogged=False, now_ms=now_ms
+            )
             return []
-        idle = self._find_idle(profile, instances, book, now_ms)
+        idle = self._find_idle(profile, instances, load_tracker, now_ms)
         used = self.room.get_used(now_ms)
-        for foreign in self.running.get_foreign(now_ms):
-            taken_bytes = used.get(foreign.instance, 0) + foreign.result_bytes
-            used[foreign.instance] = taken_bytes
+        for remote in self.running.get_remote_calls(now_ms):
+            taken_bytes = used.get(remote.instance, 0) + remote.result_bytes
+            used[remote.instance] = taken_bytes
         waits_ms = estimate_domain_waits(
             profile, instances, self.running.own, self._queue, now_ms
         )
-        self._queue.sort(key=lambda one: rank(one, now_ms))
+        self._queue.sort(key=lambda waiting: get_queue_key(waiting, now_ms))
         calls = []
         while idle and self._queue:
-            instance = prefer_domain(idle, self._queue[0])
+            instance = choose_idle_instance(idle, self._queue[0])
             idle.remove(instance)
-            wanted = self._choose_wanted(instance, waits_ms, now_ms)
-            call = self._fill(profile, instance, wanted, used, now_ms)
+            candidates = self._list_candidates(instance, waits_ms, now_ms)
+            call = self._create_call(
+                profile, instance, candidates, used, now_ms
+            )
             if call is not None:
                 calls.append(call)
-        self._rate.note(
+        self._throughput.record(
             started=sum(len(call.waiting) for call in calls),
             is_backlogged=bool(self._queue),
             now_ms=now_ms,
         )
         return calls
 
-    def _choose_wanted(
+    def _list_candidates(
         self,
         instance: UpstreamInstance,
         waits_ms: dict[str, float],
         now_ms: float,
     ) -> list[WaitingPiece]:
         """
-        Return what an instance may make, in the order of its taking.
+        Return the pieces that an instance may process, most preferred first.
 
-        Among stages that have not begun those near their reader go before
-        those that can still be in time near theirs.  In a long queue each
-        instance then finds full calls of near pieces, which moves a tenth
-        fewer bytes between domains.
+        Pieces of unstarted stages that can still be in time in a different,
+        preferred failure domain come last.  With a long queue, each instance
+        then fills its calls with pieces that prefer its own domain, which
+        moves a tenth fewer bytes between domains.
         """
-        wanted = [
-            one
-            for one in self._queue
-            if not is_held(one, instance, waits_ms, now_ms)
+        candidates = [
+            waiting
+            for waiting in self._queue
+            if not should_wait_for_domain(waiting, instance, waits_ms, now_ms)
         ]
-        later = [
-            one
-            for one in wanted
-            if not one.stage_run.is_begun
-            and is_patient(one, instance, waits_ms, now_ms)
+        deferred = [
+            waiting
+            for waiting in candidates
+            if not waiting.stage_run.is_started
+            and can_wait_for_domain(waiting, instance, waits_ms, now_ms)
         ]
-        last = {id(one) for one in later}
-        return [one for one in wanted if id(one) not in last] + later
+        deferred_ids = {id(waiting) for waiting in deferred}
+        return [
+            waiting for waiting in candidates if id(waiting) not in deferred_ids
+        ] + deferred
 
     def _find_idle(
         self,
         profile: PieceProfile,
         instances: Sequence[UpstreamInstance],
-        book: LoadBook,
+        load_tracker: LoadBook,
         now_ms: float,
     ) -> list[UpstreamInstance]:
-        busy = self.running.get_occupied(now_ms)
+        busy = self.running.get_busy_instances(now_ms)
         idle = [
-            one
-            for one in instances
-            if busy.count(one.instance) < profile.concurrency
+            instance
+            for instance in instances
+            if busy.count(instance.instance) < profile.concurrency
         ]
         trusted = [
-            one
-            for one in idle
-            if book.get(one.instance).suspect_until_ms <= now_ms
+            instance
+            for instance in idle
+            if load_tracker.get(instance.instance).suspect_until_ms <= now_ms
         ]
-        # With every instance suspect, a doubtful call beats none.
+        # If every instance is suspect, a call that may fail is better than no
+        # call.
         all_suspect = all(
-            book.get(one.instance).suspect_until_ms > now_ms
-            for one in instances
+            load_tracker.get(instance.instance).suspect_until_ms > now_ms
+            for instance in instances
         )
         return idle if all_suspect else trusted
 
-    def _fill(
+    def _create_call(
         self,
         profile: PieceProfile,
         instance: UpstreamInstance,
-        wanted: Sequence[WaitingPiece],
+        candidates: Sequence[WaitingPiece],
         used: dict[str, int],
         now_ms: float,
     ) -> PieceCall | None:
-        room_bytes = profile.room_bytes / global_settings.ROOM_MARGIN
-        free_bytes = room_bytes - used.get(instance.instance, 0)
+        space_bytes = profile.room_bytes / global_settings.ROOM_MARGIN
+        free_bytes = space_bytes - used.get(instance.instance, 0)
         taken = select_pieces(
-            [one for one in wanted if _may_make(instance, one)],
+            [
+                waiting
+                for waiting in candidates
+                if _may_process(instance, waiting)
+            ],
             profile,
             free_bytes,
         )
         if not taken:
             return None
-        for begun in taken:
-            begun.stage_run.is_begun = True
-        limit = find_limit(profile, instance, taken, wanted, self._queue)
-        chosen = {id(one) for one in taken}
-        self._queue = [one for one in self._queue if id(one) not in chosen]
+        for selected in taken:
+            selected.stage_run.is_started = True
+        limit = find_batch_limit(
+            profile, instance, taken, candidates, self._queue
+        )
+        taken_ids = {id(waiting) for waiting in taken}
+        self._queue = [
+            waiting for waiting in self._queue if id(waiting) not in taken_ids
+        ]
         call = PieceCall(
             instance=instance,
             waiting=tuple(taken),
@@ -326,8 +350,8 @@
         return call
 
 
-def _may_make(instance: UpstreamInstance, waiting: WaitingPiece) -> bool:
-    """Tell whether an instance may make a piece, and has not failed to."""
+def _may_process(instance: UpstreamInstance, waiting: WaitingPiece) -> bool:
+    """Return whether an instance may process a piece and has not failed it."""
     if not may_run_in(instance.region, waiting.piece.homes):
         return False
     return instance.instance not in waiting.avoid
--- a/packages/ragworthollow/src/ragworthollow/pieces/order.py
+++ b/packages/ragworthollow/src/ragworthollow/pieces/order.py
@@ -1,4 +1,4 @@
-"""Order pieces, and tell which may wait or are given up."""
+"""Order queued pieces and decide which of them wait or are given up."""
 
 from collections.abc import Sequence
 
@@ -8,64 +8,67 @@
 from ragworthollow.upstreams import UpstreamInstance
 
 
-def is_hopeless(waiting: WaitingPiece, now_ms: float) -> bool:
+def should_give_up(waiting: WaitingPiece, now_ms: float) -> bool:
     """
-    Tell whether a queued piece is given up.
+    Return whether a queued piece is given up.
 
-    A request on which nothing was spent is given up soon after its objective
-    is out of reach: it would take time from requests that can still meet
-    theirs, and its caller can come back.  One on which work was spent stays
-    until nobody waits for it.
+    A request on which no work was spent is given up soon after it can no
+    longer meet its objective: it would take capacity from requests that still
+    can, and its caller can retry.  A request on which work was spent stays
+    queued until its caller no longer waits for it.
     """
     piece = waiting.piece
     if piece.expires_ms <= now_ms:
         return True
-    if piece.inputs or waiting.stage_run.is_begun:
+    if piece.inputs or waiting.stage_run.is_started:
         return False
     return piece.give_up_ms < now_ms
 
 
-def rank(waiting: WaitingPiece, now_ms: float) -> tuple[bool, bool, float]:
+def get_queue_key(
+    waiting: WaitingPiece,
+    now_ms: float,
+) -> tuple[bool, bool, float]:
     """
-    Return the order in which a piece is taken, smallest first.
+    Return the sort key of a queued piece; the smallest is taken first.
 
-    The rest of a stage that has begun comes first: its finished pieces take
-    space at their makers until the last one is done, and space that is held
-    by halves of stages stops the pool while its instances are idle.
+    The remaining pieces of a started stage come first: the results of its
+    finished pieces occupy space until the last piece is done, and space that
+    is held by incomplete stages stalls the pool while its instances are idle.
     """
     return (
-        not waiting.stage_run.is_begun,
-        *rank_piece(waiting.piece, now_ms),
+        not waiting.stage_run.is_started,
+        *get_piece_key(waiting.piece, now_ms),
     )
 
 
-def rank_piece(piece: Piece, now_ms: float) -> tuple[bool, float]:
-    """Return the order of pieces whose stages have not begun."""
-    return (is_late(piece, now_ms), get_rank_ms(piece))
+def get_piece_key(piece: Piece, now_ms: float) -> tuple[bool, float]:
+    """Return the sort key of a piece whose stage has not started."""
+    return (is_late(piece, now_ms), get_weighted_due_ms(piece))
 
 
-def get_rank_ms(piece: Piece) -> float:
-    """Return the latest start, later for what is less urgent."""
+def get_weighted_due_ms(piece: Piece) -> float:
+    """Return the latest start, shifted later for less urgent pieces."""
     return piece.due_ms + piece.priority * global_settings.PRIORITY_STEP_MS
 
 
 def is_late(piece: Piece, now_ms: float) -> bool:
-    """Tell whether a piece can no longer meet its objective."""
+    """Return whether a piece can no longer meet its objective."""
     return piece.due_ms + global_settings.PIECE_LATE_GRACE_MS < now_ms
 
 
-def is_held(
+def should_wait_for_domain(
     waiting: WaitingPiece,
     instance: UpstreamInstance,
     waits_ms: dict[str, float],
     now_ms: float,
 ) -> bool:
     """
-    Tell whether a piece rather waits for an instance near its reader.
+    Return whether a piece waits for an instance in its preferred domain.
 
-    A result that is read in another failure domain costs traffic between
-    them.  A piece waits for a near instance that is expected soon, measured
-    by its own slack.
+    Reading a result in another failure domain costs traffic between domains.
+    A piece waits for an instance in its preferred domain that is expected to
+    be free within a share of the piece's slack.
     """
     domain = waiting.piece.failure_domain
     wait_ms = waits_ms.get(domain)
@@ -75,17 +78,17 @@
     return wait_ms < slack_ms * global_settings.NEAR_WAIT_SHARE
 
 
-def is_patient(
+def can_wait_for_domain(
     waiting: WaitingPiece,
     instance: UpstreamInstance,
     waits_ms: dict[str, float],
     now_ms: float,
 ) -> bool:
     """
-    Tell whether a piece can be in time at an instance near its reader.
+    Return whether a piece can be in time in its preferred domain.
 
-    The least wait of that domain is meant; one that misses it goes by its
-    due time like any other.
+    This uses the shortest wait in that domain.  A piece that would be late is
+    ordered by its latest start like any other.
     """
     domain = waiting.piece.failure_domain
     wait_ms = waits_ms.get(domain)
@@ -94,16 +97,16 @@
     return now_ms + wait_ms < waiting.piece.due_ms
 
 
-def prefer_domain(
+def choose_idle_instance(
     idle: Sequence[UpstreamInstance],
     first: WaitingPiece,
 ) -> UpstreamInstance:
-    """Return an idle instance, near the reader of the result if possible."""
-    for one in idle:
-        is_near = one.failure_domain == first.piece.failure_domain
-        if is_near and one.instance not in first.avoid:
-            return one
-    for one in idle:
-        if one.instance not in first.avoid:
-            return one
+    """Return an idle instance, in the preferred domain if possible."""
+    for candidate in idle:
+        is_local = candidate.failure_domain == first.piece.failure_domain
+        if is_local and candidate.instance not in first.avoid:
+            return candidate
+    for candidate in idle:
+        if candidate.instance not in first.avoid:
+            return candidate
     return idle[0]
--- a/packages/ragworthollow/src/ragworthollow/pieces/result_room.py
+++ b/packages/ragworthollow/src/ragworthollow/pieces/result_room.py
@@ -1,4 +1,4 @@
-"""Account for the space that results take at their makers."""
+"""Account for the space that results occupy at instances."""
 
 from dataclasses import dataclass, field
 
@@ -8,20 +8,20 @@
 @dataclass(frozen=True, kw_only=True, slots=True)
 class KeptResult:
     """
-    Name a result that takes space.
+    Describe a result that occupies space at an instance.
 
     Attributes
     ----------
     handle : str
-        Its name towards upstreams.
+        Handle by which upstreams know the result.
     instance : str
-        Its maker.
+        Instance that produced and stores the result.
     result_bytes : int
         Approximate size.
     until_ms : float
-        When its maker drops it by itself, on the monotonic clock.
+        Time at which the instance drops the result, on the monotonic clock.
     asker : str
-        Incarnation of the gateway whose request holds it.
+        Incarnation of the gateway whose request holds the result.
     """
 
     handle: str
@@ -32,90 +32,95 @@
 
 
 @dataclass(kw_only=True, slots=True)
-class ResultRoom:
+class ResultSpace:
     """
-    Know how much space the results of one pool take at each instance.
+    Track the space that the results of one pool occupy at each instance.
 
-    An instance refuses pieces for which it has no space after the call's
-    other pieces were worked on, so a gate that overfills it loses work.
+    An instance without enough space refuses pieces only after it has
+    processed the rest of the call, so a scheduler that overfills it wastes
+    work.
     """
 
-    _kept_by_handle: dict[str, KeptResult] = field(default_factory=dict)
-    _unknown_by_instance: dict[str, KeptResult] = field(default_factory=dict)
-    _freed_until_ms: dict[str, float] = field(default_factory=dict)
+    _results_by_handle: dict[str, KeptResult] = field(default_factory=dict)
+    _untracked_by_instance: dict[str, KeptResult] = field(default_factory=dict)
+    _released_expires_ms: dict[str, float] = field(default_factory=dict)
 
     def note_unknown(
         self,
         instance: str,
         result_bytes: int,
-        until_ms: float,
+        expires_ms: float,
     ) -> None:
         """
-        Note that results of which nobody knows take space at an instance.
+        Record the space that untracked results occupy at an instance.
 
-        They were asked for by a gateway that is gone; the instance drops
-        them after a while.  What is left of its space is used meanwhile.
+        They were requested by a gateway that has terminated, and the instance
+        drops them after a while.  Its remaining space is used in the meantime.
         """
-        self._unknown_by_instance[instance] = KeptResult(
+        self._untracked_by_instance[instance] = KeptResult(
             handle='',
             instance=instance,
             result_bytes=result_bytes,
-            until_ms=until_ms,
+            until_ms=expires_ms,
         )
 
-    def keep(self, kept: KeptResult) -> None:
+    def keep(self, stored: KeptResult) -> None:
         """
-        Note a result that takes space until it is freed or expires.
+        Record a result that occupies space until it is released or expires.
 
-        One that was freed before its maker's gate told of it is not noted:
-        it would take space in the account for seconds that is free.
+        A result that was released before the scheduler of its call reported it
+        is ignored: otherwise free space would count as occupied for seconds.
         """
-        if self._freed_until_ms.pop(kept.handle, None) is None:
-            self._kept_by_handle[kept.handle] = kept
+        if self._released_expires_ms.pop(stored.handle, None) is None:
+            self._results_by_handle[stored.handle] = stored
 
     def free(self, handle: str, now_ms: float) -> str:
-        """Forget a result; return its maker, empty for an unknown one."""
-        kept = self._kept_by_handle.pop(handle, None)
-        if kept is not None:
-            return kept.instance
-        for old, until_ms in tuple(self._freed_until_ms.items()):
-            if until_ms <= now_ms:
-                self._freed_until_ms.pop(old)
-        self._freed_until_ms[handle] = now_ms + global_settings.FREED_MEMORY_MS
+        """Remove a result; return its producer, empty if it is untracked."""
+        stored = self._results_by_handle.pop(handle, None)
+        if stored is not None:
+            return stored.instance
+        for released, expires_ms in tuple(self._released_expires_ms.items()):
+            if expires_ms <= now_ms:
+                self._released_expires_ms.pop(released)
+        self._released_expires_ms[handle] = (
+            now_ms + global_settings.FREED_MEMORY_MS
+        )
         return ''
 
-    def find_handles(self, asker: str) -> tuple[str, ...]:
-        """Return the results that the requests of one gateway hold."""
+    def find_handles(self, requester: str) -> tuple[str, ...]:
+        """Return the handles of the results held for one gateway's requests."""
         return tuple(
-            kept.handle
-            for kept in self._kept_by_handle.values()
-            if kept.asker == asker
+            stored.handle
+            for stored in self._results_by_handle.values()
+            if stored.asker == requester
         )
 
     def forget_instance(self, instance: str) -> None:
-        """Forget all results of an instance that holds none any more."""
-        self._unknown_by_instance.pop(instance, None)
-        for handle, kept in tuple(self._kept_by_handle.items()):
-            if kept.instance == instance:
-                self._kept_by_handle.pop(handle)
+        """Remove all results of an instance that no longer stores any."""
+        self._untracked_by_instance.pop(instance, None)
+        for handle, stored in tuple(self._results_by_handle.items()):
+            if stored.instance == instance:
+                self._results_by_handle.pop(handle)
 
     def take_all(self) -> tuple[KeptResult, ...]:
-        """Give the whole account away, to another gate of the pool."""
-        everything = tuple(self._kept_by_handle.values())
-        self._kept_by_handle.clear()
-        return everything
+        """Remove and return all results, for another scheduler of the pool."""
+        results = tuple(self._results_by_handle.values())
+        self._results_by_handle.clear()
+        return results
 
     def get_used(self, now_ms: float) -> dict[str, int]:
-        """Return the bytes in use by instance, and drop expired results."""
+        """Remove expired results; return the bytes in use by instance."""
         used: dict[str, int] = {}
-        for handle, kept in tuple(self._kept_by_handle.items()):
-            if kept.until_ms <= now_ms:
-                self._kept_by_handle.pop(handle)
+        for handle, stored in tuple(self._results_by_handle.items()):
+            if stored.until_ms <= now_ms:
+                self._results_by_handle.pop(handle)
                 continue
-            used[kept.instance] = used.get(kept.instance, 0) + kept.result_bytes
-        for instance, unknown in tuple(self._unknown_by_instance.items()):
-            if unknown.until_ms <= now_ms:
-                self._unknown_by_instance.pop(instance)
+            used[stored.instance] = (
+                used.get(stored.instance, 0) + stored.result_bytes
+            )
+        for instance, untracked in tuple(self._untracked_by_instance.items()):
+            if untracked.until_ms <= now_ms:
+                self._untracked_by_instance.pop(instance)
                 continue
-            used[instance] = used.get(instance, 0) + unknown.result_bytes
+            used[instance] = used.get(instance, 0) + untracked.result_bytes
         return used
--- a/packages/ragworthollow/src/ragworthollow/pieces/running_calls.py
+++ b/packages/ragworthollow/src/ragworthollow/pieces/running_calls.py
@@ -1,4 +1,4 @@
-"""Know which instances work on calls."""
+"""Track which instances are processing calls."""
 
 from collections.abc import Sequence
 from dataclasses import dataclass, field
@@ -11,41 +11,44 @@
     """
     Hold the calls of a pool that are in progress.
 
-    While the host of a gate changes, the calls of the gate before run on at
-    their instances; this one hears of them.
+    When a scheduler moves to another host (the gateway that runs it), the
+    calls of the previous scheduler keep running at their instances, and the
+    previous host reports them to the new scheduler.
 
     Attributes
     ----------
     own : list of PieceCall
-        Calls that were sent from here.
+        Calls that were sent by this scheduler.
     """
 
     own: list[PieceCall] = field(default_factory=list)
-    _foreign: dict[str, tuple[ForeignCall, ...]] = field(default_factory=dict)
+    _remote: dict[str, tuple[ForeignCall, ...]] = field(default_factory=dict)
 
     def learn(self, source: str, calls: Sequence[ForeignCall]) -> None:
         """
-        Take the calls that another gate of the pool has running now.
+        Replace the calls that another scheduler of the pool has in progress.
 
         Parameters
         ----------
         source : str
-            Who hosts that gate; what it told before is forgotten.
+            Host of that scheduler; its previous report is discarded.
         calls : sequence of ForeignCall
-            All of them.
+            All calls of that scheduler that are in progress.
         """
-        self._foreign[source] = tuple(calls)
+        self._remote[source] = tuple(calls)
 
-    def get_foreign(self, now_ms: float) -> list[ForeignCall]:
-        """Return the calls of other gates that still count."""
+    def get_remote_calls(self, now_ms: float) -> list[ForeignCall]:
+        """Return the calls of other schedulers that have not expired."""
         return [
             call
-            for calls in self._foreign.values()
+            for calls in self._remote.values()
             for call in calls
             if call.until_ms > now_ms
         ]
 
-    def get_occupied(self, now_ms: float) -> list[str]:
-        """Return the instance of each call in progress, whoever sent it."""
+    def get_busy_instances(self, now_ms: float) -> list[str]:
+        """Return the instance of each call in progress at any scheduler."""
         own = [call.instance.instance for call in self.own]
-        return own + [one.instance for one in self.get_foreign(now_ms)]
+        return own + [
+            remote.instance for remote in self.get_remote_calls(now_ms)
+        ]
--- a/packages/ragworthollow/src/ragworthollow/pieces/selection.py
+++ b/packages/ragworthollow/src/ragworthollow/pieces/selection.py
@@ -8,26 +8,27 @@
 
 
 def select_pieces(
-    wanted: Sequence[WaitingPiece],
+    candidates: Sequence[WaitingPiece],
     profile: PieceProfile,
     free_bytes: float,
 ) -> list[WaitingPiece]:
     """
-    Fill a call without more results than there is space for.
+    Select pieces for a call whose results fit into the available space.
 
-    A stage whose results are large against the space is not begun by halves:
-    its finished pieces would take space that others could work in, for as
-    long as the rest waits for another call.  The most urgent one is begun all
-    the same: small ones would overtake it for ever.
+    A stage whose results are large compared to the space is not started
+    partially: the results of its finished pieces would occupy space that
+    other stages could use, for as long as the rest waits for another call.
+    The most urgent stage is started anyway, since smaller stages would
+    otherwise overtake it indefinitely.
 
     Parameters
     ----------
-    wanted : sequence of WaitingPiece
-        In the order in which they are to be taken.
+    candidates : sequence of WaitingPiece
+        Candidate pieces, in order of preference.
     profile : PieceProfile
-        Of the pool.
+        Profile of the pool.
     free_bytes : float
-        Space for results at the instance.
+        Available space for results at the instance.
 
     Returns
     -------
@@ -35,26 +36,28 @@
         Pieces of the call, in order.
     """
     taken: list[WaitingPiece] = []
-    for group in _group(wanted):
+    for group in _group_by_stage(candidates):
         slots = profile.batch_limit - len(taken)
-        fitting = _fit(group, slots, free_bytes)
+        fitting = _select_fitting(group, slots, free_bytes)
         is_split = len(fitting) < len(group)
-        if taken and is_split and _must_stay_whole(group, profile):
+        if taken and is_split and _must_not_split(group, profile):
             continue
         taken += fitting
-        free_bytes -= sum(one.piece.result_bytes for one in fitting)
+        free_bytes -= sum(waiting.piece.result_bytes for waiting in fitting)
     return taken
 
 
-def _group(wanted: Iterable[WaitingPiece]) -> list[list[WaitingPiece]]:
-    """Bring the pieces of each stage together, where its first one stands."""
+def _group_by_stage(
+    candidates: Iterable[WaitingPiece],
+) -> list[list[WaitingPiece]]:
+    """Group pieces by stage, in the order of each stage's first piece."""
     groups: dict[int, list[WaitingPiece]] = {}
-    for waiting in wanted:
+    for waiting in candidates:
         groups.setdefault(id(waiting.stage_run), []).append(waiting)
     return list(groups.values())
 
 
-def _fit(
+def _select_fitting(
     group: Sequence[WaitingPiece],
     slots: int,
     free_bytes: float,
@@ -68,12 +71,12 @@
     return fitting
 
 
-def _must_stay_whole(
+def _must_not_split(
     group: Sequence[WaitingPiece],
     profile: PieceProfile,
 ) -> bool:
     first = group[0]
-    if first.stage_run.is_begun or len(group) > profile.batch_limit:
+    if first.stage_run.is_started or len(group) > profile.batch_limit:
         return False
     call_bytes = first.piece.result_bytes * profile.batch_limit
     return call_bytes * global_settings.WHOLE_STAGE_CALLS > profile.room_bytes
--- a/packages/ragworthollow/src/ragworthollow/pieces/waits.py
+++ b/packages/ragworthollow/src/ragworthollow/pieces/waits.py
@@ -1,4 +1,4 @@
-"""Estimate how long pieces wait for their calls."""
+"""Estimate how long pieces wait in the queue."""
 
 from collections.abc import Sequence
 
@@ -12,24 +12,24 @@
     profile: PieceProfile,
     instances: int,
     calls: Sequence[PieceCall],
-    ahead: int,
+    pieces_ahead: int,
     now_ms: float,
 ) -> float:
     """
-    Estimate the wait behind other pieces, by call times alone.
+    Estimate the wait behind other pieces, from call times alone.
 
     Parameters
     ----------
     profile : PieceProfile
-        Of the pool.
+        Profile of the pool.
     instances : int
-        Instances that may get work.
+        Number of instances that may receive work.
     calls : sequence of PieceCall
-        Calls that run.
-    ahead : int
-        Pieces that go before.
+        Calls in progress.
+    pieces_ahead : int
+        Number of pieces ahead in the queue.
     now_ms : float
-        Time on the monotonic clock.
+        Current time on the monotonic clock.
     """
     if not instances:
         return float('inf')
@@ -39,7 +39,7 @@
     )
     if len(calls) < instances * profile.concurrency:
         busy_ms = 0
-    calls_ahead = ahead / profile.batch_limit
+    calls_ahead = pieces_ahead / profile.batch_limit
     return (busy_ms / 2 + calls_ahead * full_ms) / instances
 
 
@@ -51,20 +51,20 @@
     now_ms: float,
 ) -> dict[str, float]:
     """
-    Estimate when each failure domain could begin with what is queued for it.
+    Estimate when each failure domain can start the pieces queued for it.
 
     Parameters
     ----------
     profile : PieceProfile
-        Of the pool.
+        Profile of the pool.
     instances : sequence of UpstreamInstance
-        Instances that may get work.
+        Instances that may receive work.
     calls : sequence of PieceCall
-        Calls that run.
+        Calls in progress.
     queue : sequence of WaitingPiece
-        Pieces that wait.
+        Queued pieces.
     now_ms : float
-        Time on the monotonic clock.
+        Current time on the monotonic clock.
     """
     busy_ms = {
         call.instance.instance: call.started_ms + call.expected_ms - now_ms
@@ -75,9 +75,9 @@
         domain = waiting.piece.failure_domain
         queued[domain] = queued.get(domain, 0) + 1
     free_ms: dict[str, list[float]] = {}
-    for one in instances:
-        free_ms.setdefault(one.failure_domain, []).append(
-            max(0, busy_ms.get(one.instance, 0)),
+    for instance in instances:
+        free_ms.setdefault(instance.failure_domain, []).append(
+            max(0, busy_ms.get(instance.instance, 0)),
         )
     full_ms = profile.estimate_ms(profile.batch_limit)
     return {
--- a/packages/ragworthollow/src/ragworthollow/throttling/named_limit.py
+++ b/packages/ragworthollow/src/ragworthollow/throttling/named_limit.py
@@ -1,4 +1,4 @@
-"""Define what an instance says of the rate that it takes."""
+"""Define the rate limit that an instance advertises."""
 
 import math
 from dataclasses import dataclass, replace
@@ -9,21 +9,23 @@
 @dataclass(frozen=True, kw_only=True, slots=True)
 class NamedLimit:
     """
-    Hold what one answer of an instance says of its limit.
+    Hold the rate limit that one response of an instance advertises.
 
-    The instance said so at some moment between the request and the answer.
-    Of two answers one is younger for certain only if its request was sent
-    after the other one had come.  Those that crossed are merged into one.
+    The instance stated it at some moment between the request and the response.
+    One of two responses is certainly fresher only if its request was sent
+    after the other response had arrived.  Responses that overlap in time are
+    merged.
 
     Attributes
     ----------
     requests_per_s : float
-        Requests a second that it takes from all gateways together;
-        `UNLIMITED_PER_S` where the answer names no limit.
+        Requests per second that it accepts from all gateways together;
+        `UNLIMITED_PER_S` if the response advertises no limit.
     asked_ms, heard_ms : float
-        When the request was sent and when the head of its answer came, on
-        the clock that goes on while a machine is suspended: what it tells
-        others then would seem younger than it is.
+        When the request was sent and when the head of its response arrived,
+        on CLOCK_BOOTTIME, which includes time in suspend: on another clock,
+        a limit that this machine sends to other gateways after a suspend
+        would seem fresher than it is.
     """
 
     requests_per_s: float
@@ -31,16 +33,16 @@
     heard_ms: float
 
     def is_limit(self) -> bool:
-        """Tell whether a limit was named."""
+        """Return whether a limit was advertised."""
         return math.isfinite(self.requests_per_s)
 
     def merge(self, other: 'NamedLimit') -> 'NamedLimit':
         """
-        Return what is to be believed after two answers.
+        Return the limit that applies after two responses.
 
-        Of two that crossed the lower limit holds, for as long as either may
-        be the younger one: to believe the other could bring the instance more
-        than it takes.
+        If they overlap, the lower limit applies for as long as either of them
+        may be the fresher: with the higher limit, the instance could
+        receive more than it accepts.
         """
         if other.heard_ms <= self.asked_ms:
             return self
@@ -48,7 +50,7 @@
             return other
         lower, higher = sorted(
             (self, other),
-            key=lambda one: (one.requests_per_s, -one.asked_ms),
+            key=lambda limit: (limit.requests_per_s, -limit.asked_ms),
         )
         if not higher.is_limit():
             return lower
--- a/packages/ragworthollow/src/ragworthollow/throttling/named_limits.py
+++ b/packages/ragworthollow/src/ragworthollow/throttling/named_limits.py
@@ -1,4 +1,4 @@
-"""Keep which limits instances have named in their answers."""
+"""Track the rate limits that instances advertise in their responses."""
 
 from ragworthollow.conf import global_settings
 from ragworthollow.throttling.named_limit import NamedLimit
@@ -6,138 +6,147 @@
 
 class NamedLimits:
     """
-    Know the limit of each start of an instance.
+    Track the rate limit of each incarnation of an instance.
 
-    It holds until a younger answer names another one or none.  Where nobody
-    has had an answer for a long time, perhaps since those who may send have
-    no callers, it ends.
+    A limit applies until a fresher response advertises another limit or none.
+    It expires if no gateway has received a response for a long time, perhaps
+    because the gateways that may send have no callers.
     """
 
     def __init__(self) -> None:
         self._known: dict[str, NamedLimit] = {}
-        # When another limit was heard last, by incarnation, youngest last.
+        # When the limit last changed, by incarnation, latest change last.
         self._changed_ms: dict[str, float] = {}
-        self._last_asked_ms = float('-inf')
-        self._told = 0
+        self._last_sent_ms = float('-inf')
+        self._next_index = 0
 
-    def note(self, incarnation: str, named: NamedLimit) -> bool:
+    def note(self, incarnation: str, limit: NamedLimit) -> bool:
         """
-        Take what an answer says.
+        Record what a response advertises.
 
         Parameters
         ----------
         incarnation : str
-            Start of the instance.
-        named : NamedLimit
-            What it says.
+            Incarnation of the instance.
+        limit : NamedLimit
+            Limit that the response advertises, or its absence.
 
         Returns
         -------
         bool
-            Whether another limit holds from now on.
+            Whether a different limit applies from now on.
         """
         known = self._known.get(incarnation)
         if known is None:
-            return named.is_limit() and self._keep(incarnation, named)
-        merged = known.merge(named)
+            return limit.is_limit() and self._store(incarnation, limit)
+        merged = known.merge(limit)
         if merged is known:
             return False
-        self._keep(incarnation, merged)
+        self._store(incarnation, merged)
         return merged.requests_per_s != known.requests_per_s
 
-    def note_heard(self, incarnation: str, named: NamedLimit) -> bool:
+    def note_heard(self, incarnation: str, limit: NamedLimit) -> bool:
         """
-        Take what another gateway tells, as `note` does an answer.
+        Record a limit received from another gateway.
 
-        What this gateway has told itself comes back placed in a longer time.
-        It adds nothing, and would keep younger answers from ending the limit.
+        A limit that this gateway has sent itself comes back placed in a longer
+        interval.  It adds nothing, and would keep fresher responses from
+        ending the limit.
+
+        Returns
+        -------
+        bool
+            Whether a different limit applies from now on.
         """
         known = self._known.get(incarnation)
         is_echo = (
             known is not None
-            and known.requests_per_s == named.requests_per_s
-            and known.asked_ms >= named.asked_ms
+            and known.requests_per_s == limit.requests_per_s
+            and known.asked_ms >= limit.asked_ms
         )
-        return not is_echo and self.note(incarnation, named)
+        return not is_echo and self.note(incarnation, limit)
 
     def may_have_any(self, now_ms: float) -> bool:
-        """Tell whether any instance may have a limit now."""
-        return bool(_get_left_ms(self._last_asked_ms, now_ms))
+        """Return whether any instance may have a limit now."""
+        return bool(_get_remaining_ms(self._last_sent_ms, now_ms))
 
     def find(self, incarnation: str, now_ms: float) -> NamedLimit | None:
-        """Return the limit of an instance; None where it has none."""
+        """Return the limit of an instance, or None if it has none."""
         known = self._known.get(incarnation)
         if known is None or not known.is_limit():
             return None
-        return known if _get_left_ms(known.asked_ms, now_ms) else None
+        return known if _get_remaining_ms(known.asked_ms, now_ms) else None
 
-    def get_left_ms(self, named: NamedLimit, now_ms: float) -> float:
-        """Return for how long a limit holds that nobody names again."""
-        return _get_left_ms(named.asked_ms, now_ms)
+    def get_left_ms(self, limit: NamedLimit, now_ms: float) -> float:
+        """Return how long a limit applies unless it is advertised again."""
+        return _get_remaining_ms(limit.asked_ms, now_ms)
 
     def choose_told(self, now_ms: float) -> dict[str, NamedLimit]:
         """
-        Choose of which instances another gateway is told now.
+        Choose the limits to send to another gateway now.
 
-        Those whose limits have just changed come first; all others follow in
-        turn, so that a limit which is named again and again goes on to be
-        believed, and a message has a bounded size.
+        Limits that have just changed come first.  All others follow in
+        round-robin order, so that limits which are advertised repeatedly do
+        not expire at other gateways and the size of a message is bounded.
 
         Returns
         -------
         dict of str to NamedLimit
-            What they have said last, limits that ended included.
+            Latest limits of the chosen instances, by incarnation, including
+            limits that ended.
         """
-        room = global_settings.LIMITS_IN_MESSAGE
+        max_limits = global_settings.LIMITS_IN_MESSAGE
         recent = [
             incarnation
             for incarnation, changed_ms in self._changed_ms.items()
             if now_ms - changed_ms < global_settings.LIMITS_TOLD_FIRST_MS
         ]
-        chosen = recent[-room:]
-        others = self._take_turn(room - len(chosen))
-        told = {
+        chosen = recent[-max_limits:]
+        others = self._get_next_in_turn(max_limits - len(chosen))
+        selected = {
             incarnation: self._known[incarnation]
             for incarnation in (*chosen, *others)
             if incarnation in self._known
         }
         return {
-            incarnation: named
-            for incarnation, named in told.items()
-            if _get_left_ms(named.asked_ms, now_ms)
+            incarnation: limit
+            for incarnation, limit in selected.items()
+            if _get_remaining_ms(limit.asked_ms, now_ms)
         }
 
-    def _keep(self, incarnation: str, named: NamedLimit) -> bool:
+    def _store(self, incarnation: str, limit: NamedLimit) -> bool:
         known = self._known.get(incarnation)
-        _keep(self._known, incarnation, named)
-        if named.is_limit():
-            self._last_asked_ms = max(self._last_asked_ms, named.asked_ms)
-        if known is None or known.requests_per_s != named.requests_per_s:
-            _keep(self._changed_ms, incarnation, named.heard_ms)
+        _store(self._known, incarnation, limit)
+        if limit.is_limit():
+            self._last_sent_ms = max(self._last_sent_ms, limit.asked_ms)
+        if known is None or known.requests_per_s != limit.requests_per_s:
+            _store(self._changed_ms, incarnation, limit.heard_ms)
         return True
 
-    def _take_turn(self, count: int) -> list[str]:
-        """Return the next instances in turn."""
+    def _get_next_in_turn(self, count: int) -> list[str]:
+        """Return the next incarnations in round-robin order."""
         if not self._known:
             return []
-        everyone = sorted(self._known)
-        first = self._told % len(everyone)
-        self._told = first + count
-        return (everyone + everyone)[first : first + min(count, len(everyone))]
+        incarnations = sorted(self._known)
+        first = self._next_index % len(incarnations)
+        self._next_index = first + count
+        return (incarnations + incarnations)[
+            first : first + min(count, len(incarnations))
+        ]
 
 
-def _keep(
-    kept: dict[str, NamedLimit] | dict[str, float],
+def _store(
+    stored: dict[str, NamedLimit] | dict[str, float],
     incarnation: str,
-    fact: NamedLimit | float,
+    newest: NamedLimit | float,
 ) -> None:
-    """Keep a fact as the youngest, and drop the oldest beyond a bound."""
-    kept.pop(incarnation, None)
-    kept[incarnation] = fact
-    while len(kept) > global_settings.NAMED_LIMITS_KEPT:
-        kept.pop(next(iter(kept)))
+    """Store a value as the latest, and drop the oldest beyond a limit."""
+    stored.pop(incarnation, None)
+    stored[incarnation] = newest
+    while len(stored) > global_settings.NAMED_LIMITS_KEPT:
+        stored.pop(next(iter(stored)))
 
 
-def _get_left_ms(asked_ms: float, now_ms: float) -> float:
-    until_ms = asked_ms + global_settings.NAMED_LIMIT_BELIEVED_MS
-    return max(0, until_ms - now_ms)
+def _get_remaining_ms(sent_ms: float, now_ms: float) -> float:
+    expires_ms = sent_ms + global_settings.NAMED_LIMIT_BELIEVED_MS
+    return max(0, expires_ms - now_ms)
