--- a/measure/fleet_model/gateway.py
+++ b/measure/fleet_model/gateway.py
@@ -10,7 +10,11 @@
 from measure.fleet_model.pings import ping_forever
 from measure.fleet_model.stage_instance import InstanceLost, StageInstance
 from ragworthollow.conf import GatewaySettings, global_settings
-from ragworthollow.exchange import PromptPart, RequestTerms, UsualLimits
+from ragworthollow.exchange import (
+    PromptPart,
+    RequestParameters,
+    TypicalTimeLimits,
+)
 from ragworthollow.membership.gateway_member import GatewayMember
 from ragworthollow.membership.gateway_members import GatewayMembers
 from ragworthollow.outcomes import Outcome, Reason
@@ -18,8 +22,8 @@
 from ragworthollow.routes import Route, RouteTable
 from ragworthollow.transport.piece_messages import ResultsRelease
 from ragworthollow.upstreams import (
+    UpstreamCriteria,
     UpstreamInstance,
-    UpstreamWish,
     choose_upstream,
 )
 from ragworthollow.utils import get_monotonic_ms
@@ -66,7 +70,7 @@
         self.context.table = table
         self.members = GatewayMembers(instance=self.name)
         self._network = network
-        self._usual_limits = UsualLimits()
+        self._usual_limits = TypicalTimeLimits()
         self.service = PieceService(
             context=self.context,
             send=self._send,
@@ -117,7 +121,7 @@
             holder=None,
             pool=ENGINES,
             table=self.context.table,
-            waited_ms=self._usual_limits.note(route.name, time_limit_ms),
+            waited_ms=self._usual_limits.record(route.name, time_limit_ms),
             fingerprint=terms.request_id,
             received_ms=now_ms,
             deadline_ms=now_ms + time_limit_ms,
@@ -173,7 +177,7 @@
         finally:
             reading.cancel()
             record.in_flight -= 1
-        self.context.get_answer_time(ENGINES).note(
+        self.context.get_answer_time(ENGINES).record(
             job.terms.prompt_tokens,
             get_monotonic_ms() - sent_ms,
         )
@@ -184,7 +188,7 @@
         chosen = choose_upstream(
             self.context.directory.get_pool(ENGINES),
             self.context.book,
-            UpstreamWish(affinity_key=job.terms.get_affinity_key()),
+            UpstreamCriteria(affinity_key=job.terms.get_affinity_key()),
             get_monotonic_ms(),
             self.context.rng,
         )
@@ -194,7 +198,7 @@
         self,
         arrival: Arrival,
         time_limit_ms: float,
-    ) -> RequestTerms:
+    ) -> RequestParameters:
         kind = self._network.sheet.kinds[arrival.kind]
         shared = PromptPart(
             part=f'{arrival.kind}/{arrival.subject}',
@@ -203,7 +207,7 @@
         own = PromptPart(
             part=f'own/{arrival.number}', tokens=arrival.own_tokens
         )
-        return RequestTerms(
+        return RequestParameters(
             request_id=f'{arrival.number}',
             time_limit_ms=time_limit_ms,
             prompt_parts=(shared, own),
@@ -227,7 +231,7 @@
         context: GatewayContext,
         call: PieceCall,
     ) -> Result[Found, UpstreamFailure]:
-        pieces = tuple(waiting.piece for waiting in call.waiting)
+        pieces = tuple(waiting.piece for waiting in call.pieces)
         instance = self._network.stages[call.instance.instance]
         await self._network.travel(self.name)
         try:
--- a/measure/fleet_model/load_sheet.py
+++ b/measure/fleet_model/load_sheet.py
@@ -38,8 +38,8 @@
             batch_limit=self.batch,
             call_ms=self.call_ms,
             piece_ms=self.piece_ms,
-            room_bytes=self.room_bytes,
-            kept_ms=self.kept_ms,
+            result_space_bytes=self.room_bytes,
+            result_ttl_ms=self.kept_ms,
         )
 
 
--- a/measure/fleet_model/network.py
+++ b/measure/fleet_model/network.py
@@ -6,7 +6,7 @@
 from measure.fleet_model.engine_instance import EngineInstance
 from measure.fleet_model.load_sheet import GatewayFault, LoadSheet
 from measure.fleet_model.stage_instance import StageInstance
-from ragworthollow.exchange import RequestTerms
+from ragworthollow.exchange import RequestParameters
 from ragworthollow.utils import get_monotonic_ms
 
 if TYPE_CHECKING:
@@ -73,7 +73,7 @@
         self,
         name: str,
         engine: str,
-        terms: RequestTerms,
+        terms: RequestParameters,
     ) -> None:
         """Return at the first event of an answer."""
         shared, own = terms.prompt_parts
--- a/measure/fleet_model/pings.py
+++ b/measure/fleet_model/pings.py
@@ -53,7 +53,7 @@
         gateway.context.incarnation,
         get_monotonic_ms(),
     )
-    peer.service.get_gates().peer_announcements.note(
+    peer.service.get_gates().peer_announcements.record(
         gateway.name,
         gateway.service.get_gates().announced.get_counts(),
         get_monotonic_ms(),
--- a/measure/fleet_model/tables.py
+++ b/measure/fleet_model/tables.py
@@ -3,13 +3,13 @@
 from measure.fleet_model.gateway import ENGINES
 from measure.fleet_model.load_sheet import LoadSheet
 from ragworthollow.routes import (
-    PoolShare,
     RequestLimits,
     Route,
     RouteKind,
     RouteTable,
-    StageStep,
+    StageDefinition,
     UpstreamPool,
+    WeightedPool,
 )
 
 
@@ -30,9 +30,9 @@
                 host='model',
                 path_prefix=f'/{name}/',
                 kind=RouteKind.stream,
-                shares=(PoolShare(pool=ENGINES, weight=1),),
+                weighted_pools=(WeightedPool(pool=ENGINES, weight=1),),
                 stages=tuple(
-                    StageStep(
+                    StageDefinition(
                         pool=stage.pool,
                         after=stage.after,
                         result_bytes=stage.result_bytes,
--- a/packages/ragworthollow-daemon/src/ragworthollow_daemon/gateway/admission.py
+++ b/packages/ragworthollow-daemon/src/ragworthollow_daemon/gateway/admission.py
@@ -6,7 +6,7 @@
 from result import Err, Ok, Result
 
 from ragworthollow.conf import global_settings
-from ragworthollow.exchange import RequestTerms, UsualLimits
+from ragworthollow.exchange import RequestParameters, TypicalTimeLimits
 from ragworthollow.outcomes import Outcome, Reason
 from ragworthollow.platform.request_wire import read_terms
 from ragworthollow.quarantine import make_fingerprint
@@ -34,7 +34,7 @@
 
     def __init__(self, *, context: GatewayContext) -> None:
         self._context = context
-        self._typical_limits = UsualLimits()
+        self._typical_limits = TypicalTimeLimits()
 
     async def admit(
         self,
@@ -100,7 +100,7 @@
 
     async def _wait_for_route_table(
         self,
-        request_parameters: RequestTerms,
+        request_parameters: RequestParameters,
     ) -> RouteTable | None:
         """
         Return the active route table, waiting for the first one if needed.
@@ -122,19 +122,21 @@
     def _find_waited_ms(
         self,
         route: Route,
-        request_parameters: RequestTerms,
+        request_parameters: RequestParameters,
     ) -> float:
         if request_parameters.time_limit_ms is None:
             return 0
-        return self._typical_limits.note(
+        return self._typical_limits.record(
             route.name, request_parameters.time_limit_ms
         )
 
     def _choose_pool(self, route: Route) -> str:
-        weights = [weighted_pool.weight for weighted_pool in route.shares]
+        weights = [
+            weighted_pool.weight for weighted_pool in route.weighted_pools
+        ]
         if not any(weights):
-            return route.shares[0].pool
-        chosen = self._context.rng.choices(route.shares, weights)
+            return route.weighted_pools[0].pool
+        chosen = self._context.rng.choices(route.weighted_pools, weights)
         return chosen[0].pool
 
 
@@ -186,7 +188,7 @@
     route: Route,
     key: str,
 ) -> Result[KeyHolder | None, UpstreamFailure]:
-    holder = table.identify(key) if key else None
+    holder = table.find_key_holder(key) if key else None
     if holder is None and table.requires_key and not route.is_public:
         return _refuse(Reason.unauthorized, route.name, _describe_key(key))
     return Ok(holder)
--- a/packages/ragworthollow-daemon/src/ragworthollow_daemon/gateway/answer_notices.py
+++ b/packages/ragworthollow-daemon/src/ragworthollow_daemon/gateway/answer_notices.py
@@ -3,7 +3,7 @@
 from collections.abc import Mapping
 
 from ragworthollow.conf import global_settings
-from ragworthollow.exchange import AnswerMarks
+from ragworthollow.exchange import ResponseMetadata
 from ragworthollow.logs.events import log_event
 from ragworthollow.upstreams import UpstreamInstance
 from ragworthollow.utils import get_monotonic_ms
@@ -16,7 +16,7 @@
 def note_marks(
     context: GatewayContext,
     instance: UpstreamInstance,
-    metadata: AnswerMarks,
+    metadata: ResponseMetadata,
     *,
     asked_ms: float,
     is_authentic: bool = False,
@@ -30,7 +30,7 @@
         State of this gateway.
     instance : UpstreamInstance
         Instance to which the request was sent.
-    metadata : AnswerMarks
+    metadata : ResponseMetadata
         Metadata from the head of the response.
     asked_ms : float
         When the request was sent, on CLOCK_BOOTTIME, which includes time in
@@ -45,13 +45,13 @@
         return
     now_ms = get_monotonic_ms()
     if metadata.load is not None:
-        context.book.note_load(instance.instance, metadata.load, now_ms)
+        context.book.record_load(instance.instance, metadata.load, now_ms)
     if metadata.is_leaving:
         _record_leaving(context, instance, now_ms)
-    if metadata.warm_up_left_ms:
+    if metadata.warm_up_remaining_ms:
         context.throttle.warm_ups.note(
             instance.get_incarnation(),
-            now_ms + metadata.warm_up_left_ms,
+            now_ms + metadata.warm_up_remaining_ms,
         )
     if metadata.pause_ms is not None:
         _record_pause(context, instance, now_ms, metadata.pause_ms)
@@ -90,7 +90,7 @@
     """
     now_ms = get_monotonic_ms()
     for incarnation, age_ms in ages_ms.items():
-        if context.directory.note_leaving(incarnation, now_ms - age_ms):
+        if context.directory.record_leaving(incarnation, now_ms - age_ms):
             context.metrics.count_event('instance_leaving_heard')
             log_event(
                 'instance_leaving_heard',
@@ -105,7 +105,7 @@
     instance: UpstreamInstance,
     now_ms: float,
 ) -> None:
-    if not context.directory.note_leaving(instance.get_incarnation(), now_ms):
+    if not context.directory.record_leaving(instance.get_incarnation(), now_ms):
         return
     context.quarantine.has_urgent_news.set()
     context.metrics.count_event('instance_said_leaving')
@@ -125,7 +125,7 @@
     now_ms: float,
     pause_ms: float,
 ) -> None:
-    context.directory.note_pause(instance, now_ms + pause_ms)
+    context.directory.record_pause(instance, now_ms + pause_ms)
     context.metrics.count_event('instance_said_pause')
     log_event(
         'instance_said_pause',
--- a/packages/ragworthollow-daemon/src/ragworthollow_daemon/gateway/attempt.py
+++ b/packages/ragworthollow-daemon/src/ragworthollow_daemon/gateway/attempt.py
@@ -9,7 +9,7 @@
 from yarl import URL
 
 from ragworthollow.conf import global_settings
-from ragworthollow.exchange import AnswerMarks, UpstreamOrder
+from ragworthollow.exchange import AttemptMetadata, ResponseMetadata
 from ragworthollow.outcomes import Outcome, Reason
 from ragworthollow.platform.answer_wire import read_marks
 from ragworthollow.platform.request_wire import make_upstream_headers
@@ -102,7 +102,7 @@
     sent_ms = get_boottime_ms()
     headers = make_upstream_headers(
         job.request.headers,
-        UpstreamOrder(
+        AttemptMetadata(
             instance=plan.instance.instance,
             organisation=job.get_organisation(),
             time_limit_ms=job.get_remaining_ms(),
@@ -229,7 +229,7 @@
     job: RequestJob,
     plan: AttemptPlan,
     status: int,
-    metadata: AnswerMarks,
+    metadata: ResponseMetadata,
 ) -> UpstreamFailure | None:
     if metadata.request_id != job.terms.request_id and not metadata.is_not_run:
         return _make_status_failure(
--- a/packages/ragworthollow-daemon/src/ragworthollow_daemon/gateway/attempt_series.py
+++ b/packages/ragworthollow-daemon/src/ragworthollow_daemon/gateway/attempt_series.py
@@ -11,10 +11,10 @@
 from ragworthollow.logs.events import log_event
 from ragworthollow.outcomes import Outcome, Reason
 from ragworthollow.platform.answer_wire import make_caller_headers
-from ragworthollow.routes.homes import may_run_in
+from ragworthollow.routes.homes import is_region_allowed
 from ragworthollow.upstreams import (
+    UpstreamCriteria,
     UpstreamInstance,
-    UpstreamWish,
     choose_upstream,
 )
 from ragworthollow.utils import get_monotonic_ms
@@ -86,10 +86,10 @@
             [
                 instance
                 for instance in self._throttle.get_ready()
-                if may_run_in(instance.region, self._allowed_regions)
+                if is_region_allowed(instance.region, self._allowed_regions)
             ],
             context.book,
-            UpstreamWish(
+            UpstreamCriteria(
                 affinity_key=self.job.terms.get_affinity_key(),
                 avoid=frozenset(self._tried_instances),
                 failure_domain=context.settings.failure_domain,
@@ -155,7 +155,7 @@
 
     def record_response(self, plan: AttemptPlan, status: int) -> None:
         """Record a response that is passed on to the caller."""
-        self._context.book.note_success(plan.instance.instance)
+        self._context.book.record_success(plan.instance.instance)
         if status in _SUCCESS_STATUSES:
             self._context.quarantine.record_success(self.job.fingerprint)
         late_ms = get_monotonic_ms() - self.job.get_goal_ms()
--- a/packages/ragworthollow-daemon/src/ragworthollow_daemon/gateway/call_outcomes.py
+++ b/packages/ragworthollow-daemon/src/ragworthollow_daemon/gateway/call_outcomes.py
@@ -7,9 +7,9 @@
 from ragworthollow.outcomes import Outcome, Reason
 from ragworthollow.pieces import (
     PieceCall,
-    PieceGate,
     PieceOutcome,
     PieceResult,
+    PieceScheduler,
     WaitingPiece,
 )
 from ragworthollow.utils import get_monotonic_ms
@@ -48,7 +48,7 @@
     def note_results(
         self,
         pool: str,
-        scheduler: PieceGate,
+        scheduler: PieceScheduler,
         call: PieceCall,
         results: PieceResults,
     ) -> None:
@@ -60,7 +60,7 @@
             now_ms - call.started_ms,
         )
         self._space_recorder.note_results(pool, scheduler, call, results)
-        for waiting, piece_result in zip(call.waiting, results, strict=True):
+        for waiting, piece_result in zip(call.pieces, results, strict=True):
             self._resolve(pool, scheduler, call, waiting, piece_result)
         self._log(
             pool,
@@ -83,7 +83,7 @@
         duration_ms = now_ms - call.started_ms
         slow_after_ms = call.expected_ms * global_settings.PIECE_CALL_PATIENCE
         if duration_ms <= slow_after_ms:
-            self._context.book.note_success(call.instance.instance)
+            self._context.book.record_success(call.instance.instance)
 
     async def settle(self, call: PieceCall, failure: UpstreamFailure) -> None:
         """
@@ -98,7 +98,7 @@
             call.instance,
             {
                 waiting.piece.fingerprint
-                for waiting in call.waiting
+                for waiting in call.pieces
                 if waiting.piece.fingerprint
             },
         )
@@ -107,7 +107,7 @@
     def note_failure(
         self,
         pool: str,
-        scheduler: PieceGate,
+        scheduler: PieceScheduler,
         call: PieceCall,
         failure: UpstreamFailure,
     ) -> None:
@@ -124,8 +124,8 @@
             self._context.suspect(call.instance)
         # Nothing was sent, so the retry is not charged to the retry budget.
         is_budget_exempt = failure.reason is Reason.connect_failed
-        for waiting in call.waiting:
-            if not waiting.is_wanted or waiting in call.passed_on:
+        for waiting in call.pieces:
+            if not waiting.is_awaited or waiting in call.hedged:
                 continue
             if is_budget_exempt:
                 scheduler.resubmit(
@@ -137,7 +137,7 @@
                 self._retry(pool, scheduler, call, waiting, _FAILED_RESULT)
 
     def note_slow(
-        self, pool: str, scheduler: PieceGate, call: PieceCall
+        self, pool: str, scheduler: PieceScheduler, call: PieceCall
     ) -> None:
         """
         Hedge the pieces of a slow call at other instances.
@@ -154,12 +154,12 @@
         )
         self._context.suspect(call.instance)
         self._record_failed_call(pool, scheduler, call, failure)
-        for waiting in call.waiting:
-            if not waiting.is_wanted or not self._may_retry(waiting):
+        for waiting in call.pieces:
+            if not waiting.is_awaited or not self._may_retry(waiting):
                 continue
             if self._context.get_budget(pool).spend():
                 self._context.metrics.count_retry(pool, 'slow_piece')
-                call.passed_on.add(waiting)
+                call.hedged.add(waiting)
                 scheduler.resubmit(
                     waiting,
                     call.instance.instance,
@@ -169,18 +169,18 @@
     def _resolve(
         self,
         pool: str,
-        scheduler: PieceGate,
+        scheduler: PieceScheduler,
         call: PieceCall,
         waiting: WaitingPiece,
         piece_result: PieceResult,
     ) -> None:
-        if not waiting.is_wanted:
+        if not waiting.is_awaited:
             if piece_result.handle:
                 self._release(pool, (piece_result.handle,))
             return
         if piece_result.outcome is PieceOutcome.done:
-            waiting.settle(piece_result)
-        elif waiting in call.passed_on:
+            waiting.resolve(piece_result)
+        elif waiting in call.hedged:
             # The other call that contains the piece decides its outcome.
             return
         elif piece_result.outcome is PieceOutcome.no_room:
@@ -191,12 +191,12 @@
         elif piece_result.outcome is PieceOutcome.failed:
             self._retry(pool, scheduler, call, waiting, piece_result)
         else:
-            waiting.settle(piece_result)
+            waiting.resolve(piece_result)
 
     def _retry(
         self,
         pool: str,
-        scheduler: PieceGate,
+        scheduler: PieceScheduler,
         call: PieceCall,
         waiting: WaitingPiece,
         last_result: PieceResult,
@@ -213,7 +213,7 @@
             return
         if may_retry:
             self._context.metrics.count_retry(pool, 'budget_spent')
-        waiting.settle(last_result)
+        waiting.resolve(last_result)
 
     def _may_retry(self, waiting: WaitingPiece) -> bool:
         if self._context.quarantine.get_left_ms(waiting.piece.fingerprint):
@@ -223,7 +223,7 @@
     def _record_failed_call(
         self,
         pool: str,
-        scheduler: PieceGate,
+        scheduler: PieceScheduler,
         call: PieceCall,
         failure: UpstreamFailure,
     ) -> None:
@@ -244,7 +244,7 @@
     def _log(
         self,
         pool: str,
-        scheduler: PieceGate,
+        scheduler: PieceScheduler,
         call: PieceCall,
         event: str,
         **fields: object,
@@ -255,20 +255,22 @@
             pool=pool,
             peer=call.instance.instance,
             requests=sorted(
-                {member.piece.request_id for member in call.waiting}
+                {member.piece.request_id for member in call.pieces}
             ),
-            pieces=len(call.waiting),
+            pieces=len(call.pieces),
             failure_domain=call.instance.failure_domain,
             near=sum(
                 waiting.piece.failure_domain == call.instance.failure_domain
-                for waiting in call.waiting
+                for waiting in call.pieces
             ),
             limit=call.limit,
-            left=call.left,
+            left=call.remaining_pieces,
             queued=scheduler.get_depth(),
             expected_ms=round(call.expected_ms),
             took_ms=round(get_monotonic_ms() - call.started_ms),
-            room_bytes=scheduler.room.get_used(get_monotonic_ms()).get(
+            room_bytes=scheduler.result_space.get_used_bytes(
+                get_monotonic_ms()
+            ).get(
                 call.instance.instance,
             ),
             **fields,
--- a/packages/ragworthollow-daemon/src/ragworthollow_daemon/gateway/call_space.py
+++ b/packages/ragworthollow-daemon/src/ragworthollow_daemon/gateway/call_space.py
@@ -4,11 +4,11 @@
 
 from ragworthollow.conf import global_settings
 from ragworthollow.pieces import (
-    KeptResult,
     PieceCall,
-    PieceGate,
     PieceOutcome,
     PieceResult,
+    PieceScheduler,
+    StoredResult,
     WaitingPiece,
 )
 from ragworthollow.utils import get_monotonic_ms
@@ -31,7 +31,7 @@
     def note_results(
         self,
         pool: str,
-        scheduler: PieceGate,
+        scheduler: PieceScheduler,
         call: PieceCall,
         results: Sequence[PieceResult],
     ) -> None:
@@ -45,14 +45,14 @@
         expires_ms = get_monotonic_ms() + self._get_result_ttl_ms(pool)
         stored_results = [
             _make_stored_result(call, waiting, result.handle, expires_ms)
-            for waiting, result in zip(call.waiting, results, strict=True)
+            for waiting, result in zip(call.pieces, results, strict=True)
             if result.outcome is PieceOutcome.done
         ]
         for stored_result in stored_results:
-            scheduler.room.keep(stored_result)
+            scheduler.result_space.add(stored_result)
         if any(result.outcome is PieceOutcome.no_room for result in results):
             stored_bytes = sum(result.result_bytes for result in stored_results)
-            scheduler.room.note_unknown(
+            scheduler.result_space.record_untracked(
                 call.instance.instance,
                 int(max(0, call.free_bytes - stored_bytes)),
                 get_monotonic_ms() + global_settings.ROOM_RETRY_MS,
@@ -61,20 +61,20 @@
     def note_lost(
         self,
         pool: str,
-        scheduler: PieceGate,
+        scheduler: PieceScheduler,
         call: PieceCall,
     ) -> None:
         """Account for results whose handles were lost with the response."""
         expires_ms = get_monotonic_ms() + self._get_result_ttl_ms(pool)
-        for number, waiting in enumerate(call.waiting):
+        for number, waiting in enumerate(call.pieces):
             handle = f'{call.instance.instance}/{call.started_ms}/{number}'
-            scheduler.room.keep(
+            scheduler.result_space.add(
                 _make_stored_result(call, waiting, handle, expires_ms)
             )
 
     def _get_result_ttl_ms(self, pool: str) -> float:
         pool_config = self._context.table.pools[pool]
-        return pool_config.pieces.kept_ms
+        return pool_config.pieces.result_ttl_ms
 
 
 def _make_stored_result(
@@ -82,11 +82,11 @@
     waiting: WaitingPiece,
     handle: str,
     expires_ms: float,
-) -> KeptResult:
-    return KeptResult(
+) -> StoredResult:
+    return StoredResult(
         handle=handle,
         instance=call.instance.instance,
         result_bytes=waiting.piece.result_bytes,
-        until_ms=expires_ms,
-        asker=waiting.piece.asker,
+        expires_ms=expires_ms,
+        requester=waiting.piece.requester,
     )
--- a/packages/ragworthollow-daemon/src/ragworthollow_daemon/gateway/call_watch.py
+++ b/packages/ragworthollow-daemon/src/ragworthollow_daemon/gateway/call_watch.py
@@ -40,7 +40,7 @@
         off, is throttled, or is in a drained failure domain.
     """
     directory = context.directory
-    if directory.get_pause_left_ms(instance):
+    if directory.get_remaining_pause_ms(instance):
         return None
     if directory.drains.is_drained(instance.failure_domain):
         return None
--- a/packages/ragworthollow-daemon/src/ragworthollow_daemon/gateway/context.py
+++ b/packages/ragworthollow-daemon/src/ragworthollow_daemon/gateway/context.py
@@ -17,9 +17,9 @@
 from ragworthollow.transport.checked_connector import make_upstream_session
 from ragworthollow.transport.session import make_plain_session
 from ragworthollow.upstreams import (
-    AnswerTime,
     Directory,
-    LoadBook,
+    FirstEventLatency,
+    LoadTracker,
     UpstreamInstance,
 )
 from ragworthollow.utils import get_monotonic_ms, make_identifier
@@ -70,7 +70,7 @@
         self.table: RouteTable | None = None
         self._table_came = asyncio.Event()
         self.directory = Directory()
-        self.book = LoadBook()
+        self.book = LoadTracker()
         self._throttle = Throttle(
             gateway=settings.instance,
             settle_ms=settings.get_shortest_bound_ms(),
@@ -82,7 +82,7 @@
             metrics=self.metrics,
             spawn=self.spawn,
         )
-        self._first_event_latencies: dict[str, AnswerTime] = {}
+        self._first_event_latencies: dict[str, FirstEventLatency] = {}
         self._members = 1
         self._budgets: dict[str, RetryBudget] = {}
         self._tasks: set[asyncio.Task[None]] = set()
@@ -114,9 +114,9 @@
             self._budgets[pool] = budget
         return budget
 
-    def get_answer_time(self, pool: str) -> AnswerTime:
+    def get_answer_time(self, pool: str) -> FirstEventLatency:
         """Return the statistics of a pool's time to the first event."""
-        return self._first_event_latencies.setdefault(pool, AnswerTime())
+        return self._first_event_latencies.setdefault(pool, FirstEventLatency())
 
     def suspect(self, instance: UpstreamInstance) -> None:
         """
@@ -128,7 +128,7 @@
         """
         listed = self.directory.get(instance.instance)
         if listed is None or listed.is_same_incarnation(instance):
-            self.book.note_failure(instance.instance, get_monotonic_ms())
+            self.book.record_failure(instance.instance, get_monotonic_ms())
 
     def put_table(self, table: RouteTable) -> None:
         """Activate a route table."""
--- a/packages/ragworthollow-daemon/src/ragworthollow_daemon/gateway/forwarder.py
+++ b/packages/ragworthollow-daemon/src/ragworthollow_daemon/gateway/forwarder.py
@@ -184,7 +184,7 @@
             nonlocal is_recorded
             if not is_recorded:
                 is_recorded = True
-                self._context.get_answer_time(job.pool).note(
+                self._context.get_answer_time(job.pool).record(
                     job.terms.prompt_tokens,
                     get_monotonic_ms() - sent_ms,
                 )
@@ -207,7 +207,7 @@
         is short of space for results.
         """
         record = self._context.book.get(plan.instance.instance)
-        depth = record.in_flight + record.get_others(get_monotonic_ms())
+        depth = record.in_flight + record.get_other_requests(get_monotonic_ms())
         opening_response = open_response(self._context, series.job, plan)
         if depth > plan.instance.slots:
             return await opening_response
--- a/packages/ragworthollow-daemon/src/ragworthollow_daemon/gateway/gate_book.py
+++ b/packages/ragworthollow-daemon/src/ragworthollow_daemon/gateway/gate_book.py
@@ -9,9 +9,9 @@
     AnnouncedWork,
     PeerAnnouncements,
     Piece,
-    PieceGate,
     PieceOutcome,
     PieceResult,
+    PieceScheduler,
 )
 from ragworthollow.platform.stage_wire import get_maker_address
 from ragworthollow.routes import PieceProfile
@@ -33,13 +33,13 @@
 
     def __init__(self, *, context: GatewayContext) -> None:
         self._context = context
-        self._schedulers: dict[str, PieceGate] = {}
+        self._schedulers: dict[str, PieceScheduler] = {}
         self.announced = AnnouncedWork()
         self.peer_announcements = PeerAnnouncements()
 
-    def get(self, pool: str) -> PieceGate:
+    def get(self, pool: str) -> PieceScheduler:
         """Return the scheduler of a pool, creating it if needed."""
-        return self._schedulers.setdefault(pool, PieceGate())
+        return self._schedulers.setdefault(pool, PieceScheduler())
 
     def get_pools(self) -> tuple[str, ...]:
         """Return the pools that have a scheduler here."""
@@ -54,7 +54,7 @@
     def forget_instance(self, instance: str) -> None:
         """Drop the results of an instance that no longer stores any."""
         for scheduler in self._schedulers.values():
-            scheduler.room.forget_instance(instance)
+            scheduler.result_space.forget_instance(instance)
 
     def release(self, pool: str, handle: str) -> str:
         """
@@ -63,10 +63,12 @@
         The producer of a result that another scheduler requested is found by
         the address in the result's handle.
         """
-        producer = self.get(pool).room.free(handle, get_monotonic_ms())
+        producer = self.get(pool).result_space.release(
+            handle, get_monotonic_ms()
+        )
         if producer:
             return producer
-        instance = self._context.directory.find_at(
+        instance = self._context.directory.find_by_address(
             pool, get_maker_address(handle)
         )
         return '' if instance is None else instance.instance
--- a/packages/ragworthollow-daemon/src/ragworthollow_daemon/gateway/gate_handover.py
+++ b/packages/ragworthollow-daemon/src/ragworthollow_daemon/gateway/gate_handover.py
@@ -8,7 +8,7 @@
 from ragworthollow.logs.events import log_event
 from ragworthollow.membership.gateway_member import GatewayMember
 from ragworthollow.membership.gateway_members import GatewayMembers
-from ragworthollow.pieces import ForeignCall, KeptResult, PieceGate
+from ragworthollow.pieces import PieceScheduler, RemoteCall, StoredResult
 from ragworthollow.transport.piece_messages import (
     ForeignCallMessage,
     GateTransfer,
@@ -71,25 +71,25 @@
         now_ms = get_monotonic_ms()
         scheduler = self._schedulers.get(transfer.pool)
         if transfer.calls is not None:
-            scheduler.running.learn(
+            scheduler.running.record_remote_calls(
                 transfer.source,
                 _make_remote_calls(transfer.calls, now_ms),
             )
         for stored in transfer.kept:
-            scheduler.room.keep(
-                KeptResult(
+            scheduler.result_space.add(
+                StoredResult(
                     handle=stored.handle,
                     instance=stored.instance,
                     result_bytes=stored.result_bytes,
-                    until_ms=now_ms + stored.left_ms,
-                    asker=stored.asker,
+                    expires_ms=now_ms + stored.left_ms,
+                    requester=stored.asker,
                 ),
             )
 
     def _hand_over(
         self,
         pool: str,
-        scheduler: PieceGate,
+        scheduler: PieceScheduler,
         host: GatewayMember,
     ) -> None:
         if pool in self._hosted:
@@ -97,7 +97,7 @@
             self._release_queue(pool, scheduler, host)
         calls = _make_call_messages(scheduler)
         now_ms = get_monotonic_ms()
-        results = make_result_messages(scheduler.room.take_all(), now_ms)
+        results = make_result_messages(scheduler.result_space.pop_all(), now_ms)
         if calls or results or pool in self._notified:
             transfer = GateTransfer(
                 pool=pool,
@@ -115,7 +115,7 @@
     def _release_queue(
         self,
         pool: str,
-        scheduler: PieceGate,
+        scheduler: PieceScheduler,
         host: GatewayMember,
     ) -> None:
         queued = scheduler.get_depth()
@@ -135,12 +135,14 @@
         await tell_peer(self._context, host, TRANSFER_PATH, body)
 
 
-def _make_call_messages(scheduler: PieceGate) -> tuple[ForeignCallMessage, ...]:
+def _make_call_messages(
+    scheduler: PieceScheduler,
+) -> tuple[ForeignCallMessage, ...]:
     return tuple(
         ForeignCallMessage(
             instance=call.instance.instance,
             result_bytes=sum(
-                waiting.piece.result_bytes for waiting in call.waiting
+                waiting.piece.result_bytes for waiting in call.pieces
             ),
         )
         for call in scheduler.running.own
@@ -148,7 +150,7 @@
 
 
 def make_result_messages(
-    results: Iterable[KeptResult],
+    results: Iterable[StoredResult],
     now_ms: float,
 ) -> tuple[KeptResultMessage, ...]:
     """
@@ -156,7 +158,7 @@
 
     Parameters
     ----------
-    results : iterable of KeptResult
+    results : iterable of StoredResult
         Results of one pool.
     now_ms : float
         Time on the monotonic clock, in milliseconds.
@@ -166,23 +168,23 @@
             handle=result.handle,
             instance=result.instance,
             result_bytes=result.result_bytes,
-            left_ms=result.until_ms - now_ms,
-            asker=result.asker,
+            left_ms=result.expires_ms - now_ms,
+            asker=result.requester,
         )
         for result in results
-        if result.until_ms > now_ms
+        if result.expires_ms > now_ms
     )
 
 
 def _make_remote_calls(
     calls: Iterable[ForeignCallMessage],
     now_ms: float,
-) -> list[ForeignCall]:
+) -> list[RemoteCall]:
     return [
-        ForeignCall(
+        RemoteCall(
             instance=call.instance,
             result_bytes=call.result_bytes,
-            until_ms=now_ms + global_settings.FOREIGN_CALL_MS,
+            expires_ms=now_ms + global_settings.FOREIGN_CALL_MS,
         )
         for call in calls
     ]
--- a/packages/ragworthollow-daemon/src/ragworthollow_daemon/gateway/held_results.py
+++ b/packages/ragworthollow-daemon/src/ragworthollow_daemon/gateway/held_results.py
@@ -2,7 +2,7 @@
 
 from collections.abc import Iterable
 
-from ragworthollow.pieces import KeptResult
+from ragworthollow.pieces import StoredResult
 
 
 class HeldResults:
@@ -17,10 +17,10 @@
     """
 
     def __init__(self) -> None:
-        self._in_use: dict[str, dict[str, KeptResult]] = {}
+        self._in_use: dict[str, dict[str, StoredResult]] = {}
         self._notified_hosts: dict[str, str] = {}
 
-    def add(self, pool: str, results: Iterable[KeptResult]) -> None:
+    def add(self, pool: str, results: Iterable[StoredResult]) -> None:
         """Add results that a request of this gateway has received."""
         in_use = self._in_use.setdefault(pool, {})
         in_use.update((result.handle, result) for result in results)
@@ -40,7 +40,7 @@
         pool: str,
         host: str,
         now_ms: float,
-    ) -> tuple[KeptResult, ...]:
+    ) -> tuple[StoredResult, ...]:
         """
         Return the results to report to a host that is new for a pool.
 
@@ -56,7 +56,7 @@
 
         Returns
         -------
-        tuple of KeptResult
+        tuple of StoredResult
             Empty if the host is the one of the previous call.
         """
         previous = self._notified_hosts.get(pool, host)
@@ -65,6 +65,6 @@
             return ()
         in_use = self._in_use.get(pool, {})
         for handle, result in tuple(in_use.items()):
-            if result.until_ms <= now_ms:
+            if result.expires_ms <= now_ms:
                 in_use.pop(handle)
         return tuple(in_use.values())
--- a/packages/ragworthollow-daemon/src/ragworthollow_daemon/gateway/instances_follower.py
+++ b/packages/ragworthollow-daemon/src/ragworthollow_daemon/gateway/instances_follower.py
@@ -71,7 +71,7 @@
 
     def note_lost(self, _detail: str) -> None:
         """Record that the store could not be read, and keep the list."""
-        self._context.directory.note_outage()
+        self._context.directory.record_outage()
         self._context.metrics.count_event('instance_list_unavailable')
 
     def take_instances(
@@ -178,7 +178,7 @@
         if instance is not None:
             self._context.throttle.warm_ups.note_entry(
                 instance.get_incarnation(),
-                get_monotonic_ms() + instance.warm_up_left_ms,
+                get_monotonic_ms() + instance.warm_up_remaining_ms,
             )
 
     def _decode(self, entries: dict[str, Stored]) -> list[UpstreamInstance]:
--- a/packages/ragworthollow-daemon/src/ragworthollow_daemon/gateway/limit_notices.py
+++ b/packages/ragworthollow-daemon/src/ragworthollow_daemon/gateway/limit_notices.py
@@ -2,7 +2,7 @@
 
 from collections.abc import Mapping
 
-from ragworthollow.exchange import AnswerMarks
+from ragworthollow.exchange import ResponseMetadata
 from ragworthollow.logs.events import log_event
 from ragworthollow.throttling import (
     UNLIMITED_PER_S,
@@ -21,7 +21,7 @@
 def record_limit(
     context: GatewayContext,
     instance: UpstreamInstance,
-    metadata: AnswerMarks,
+    metadata: ResponseMetadata,
     *,
     sent_ms: float,
     is_authentic: bool,
@@ -35,7 +35,7 @@
         State of this gateway.
     instance : UpstreamInstance
         Instance to which the request was sent.
-    metadata : AnswerMarks
+    metadata : ResponseMetadata
         Metadata from the head of the response.
     sent_ms : float
         When the request was sent, on CLOCK_BOOTTIME, which includes time in
@@ -129,7 +129,7 @@
 def _record_unreadable(
     context: GatewayContext,
     instance: UpstreamInstance,
-    metadata: AnswerMarks,
+    metadata: ResponseMetadata,
 ) -> None:
     context.metrics.count_event('instance_limit_unreadable')
     log_event(
--- a/packages/ragworthollow-daemon/src/ragworthollow_daemon/gateway/peer_routes.py
+++ b/packages/ragworthollow-daemon/src/ragworthollow_daemon/gateway/peer_routes.py
@@ -100,7 +100,7 @@
             return respond(Problem(error=str(error)), status=_BAD_REQUEST)
         now_ms = get_monotonic_ms()
         self._service.askers.hear(ping.instance, ping.incarnation, now_ms)
-        self._service.get_gates().peer_announcements.note(
+        self._service.get_gates().peer_announcements.record(
             ping.instance,
             ping.announced,
             now_ms,
--- a/packages/ragworthollow-daemon/src/ragworthollow_daemon/gateway/piece_call.py
+++ b/packages/ragworthollow-daemon/src/ragworthollow_daemon/gateway/piece_call.py
@@ -48,7 +48,7 @@
     """
     now_ms = get_monotonic_ms()
     sent_ms = get_boottime_ms()
-    pieces = tuple(waiting.piece for waiting in call.waiting)
+    pieces = tuple(waiting.piece for waiting in call.pieces)
     try:
         async with context.upstream_session.post(
             f'http://{call.instance.address}{RUN_PATH}',
@@ -107,11 +107,11 @@
         return _make_failure(
             call, Reason.truncated, str(error), Outcome.unknown
         )
-    if len(results) != len(call.waiting):
+    if len(results) != len(call.pieces):
         return _make_failure(
             call,
             Reason.mismatched_answer,
-            f'{len(results)} results for {len(call.waiting)} pieces',
+            f'{len(results)} results for {len(call.pieces)} pieces',
             Outcome.unknown,
         )
     return Ok(results)
--- a/packages/ragworthollow-daemon/src/ragworthollow_daemon/gateway/piece_client.py
+++ b/packages/ragworthollow-daemon/src/ragworthollow_daemon/gateway/piece_client.py
@@ -150,7 +150,7 @@
     def find_failure_domain(self, pool: str, handle: str) -> str:
         """Return the domain of a result; '' if its producer has terminated."""
         address = get_maker_address(handle)
-        producer = self._context.directory.find_at(pool, address)
+        producer = self._context.directory.find_by_address(pool, address)
         return '' if producer is None else producer.failure_domain
 
     def release(self, pool: str, handles: Sequence[str]) -> None:
--- a/packages/ragworthollow-daemon/src/ragworthollow_daemon/gateway/piece_service.py
+++ b/packages/ragworthollow-daemon/src/ragworthollow_daemon/gateway/piece_service.py
@@ -7,12 +7,12 @@
 
 from ragworthollow.logs.events import log_event
 from ragworthollow.pieces import (
-    KeptResult,
     Piece,
     PieceCall,
-    PieceGate,
     PieceResult,
+    PieceScheduler,
     StageRun,
+    StoredResult,
     WaitingPiece,
 )
 from ragworthollow.utils import get_monotonic_ms
@@ -113,7 +113,7 @@
             raise
         finally:
             for waiting in submitted:
-                waiting.is_wanted = False
+                waiting.is_awaited = False
 
     def get_waits_ms(self) -> dict[str, list[float]]:
         """Return the expected waits (ms) by pool hosted here and priority."""
@@ -152,24 +152,24 @@
     def add_stored_results(
         self,
         pool: str,
-        results: Sequence[KeptResult],
+        results: Sequence[StoredResult],
     ) -> None:
         """Account for results that another scheduler of the pool requested."""
         scheduler = self._schedulers.get(pool)
         for result in results:
-            scheduler.room.keep(result)
+            scheduler.result_space.add(result)
 
     def get_result_ttl_ms(self, pool: str) -> float:
         """Return how long (ms) an instance stores a result until it expires."""
         profile = self._schedulers.find_profile(pool)
-        return 0 if profile is None else profile.kept_ms
+        return 0 if profile is None else profile.result_ttl_ms
 
     def _cancel_requester(self, requester: str) -> None:
         released = 0
         for pool in self._schedulers.get_pools():
             scheduler = self._schedulers.get(pool)
-            scheduler.drop_asker(requester)
-            handles = scheduler.room.find_handles(requester)
+            scheduler.cancel_requester(requester)
+            handles = scheduler.result_space.find_handles(requester)
             released += len(handles)
             self.free(pool, handles)
         if released:
@@ -215,7 +215,7 @@
     def _handle_slow_call(
         self,
         pool: str,
-        scheduler: PieceGate,
+        scheduler: PieceScheduler,
         call: PieceCall,
     ) -> None:
         self._outcomes.note_slow(pool, scheduler, call)
@@ -224,7 +224,7 @@
     async def _run_call(
         self,
         pool: str,
-        scheduler: PieceGate,
+        scheduler: PieceScheduler,
         call: PieceCall,
     ) -> None:
         """
--- a/packages/ragworthollow-daemon/src/ragworthollow_daemon/gateway/request_job.py
+++ b/packages/ragworthollow-daemon/src/ragworthollow_daemon/gateway/request_job.py
@@ -4,9 +4,9 @@
 
 from aiohttp import web
 
-from ragworthollow.exchange import RequestTerms
+from ragworthollow.exchange import RequestParameters
 from ragworthollow.routes import KeyHolder, Route, RouteTable
-from ragworthollow.routes.homes import Homes, intersect_homes
+from ragworthollow.routes.homes import AllowedRegions, intersect_regions
 from ragworthollow.utils import get_monotonic_ms
 
 
@@ -21,7 +21,7 @@
         The HTTP request, whose body has been read.
     body : bytes
         The complete body.
-    terms : RequestTerms
+    terms : RequestParameters
         Options that the caller set in the request headers.
     route : Route
         Route that matched when the request arrived.
@@ -44,7 +44,7 @@
 
     request: web.BaseRequest
     body: bytes
-    terms: RequestTerms
+    terms: RequestParameters
     route: Route
     holder: KeyHolder | None
     pool: str
@@ -79,10 +79,12 @@
         )
         return (*stages, self.pool)
 
-    def get_homes(self) -> Homes | None:
+    def get_homes(self) -> AllowedRegions | None:
         """Return the regions in which the request may run; None for any."""
-        holder_regions = None if self.holder is None else self.holder.homes
-        return intersect_homes(self.route.homes, holder_regions)
+        holder_regions = (
+            None if self.holder is None else self.holder.allowed_regions
+        )
+        return intersect_regions(self.route.allowed_regions, holder_regions)
 
     def get_priority(self) -> int:
         """Return the organisation's priority, or else the route's."""
--- a/packages/ragworthollow-daemon/src/ragworthollow_daemon/gateway/request_runner.py
+++ b/packages/ragworthollow-daemon/src/ragworthollow_daemon/gateway/request_runner.py
@@ -7,7 +7,7 @@
 from result import Err, Result
 
 from ragworthollow.outcomes import Outcome, Reason
-from ragworthollow.routes.homes import may_run_in
+from ragworthollow.routes.homes import is_region_allowed
 from ragworthollow_daemon.gateway.admission import (
     make_refusal,
     make_shutdown_failure,
@@ -142,7 +142,7 @@
             return False
         instances = self._context.directory.get_pool(pool)
         return bool(instances) and not any(
-            may_run_in(instance.region, allowed_regions)
+            is_region_allowed(instance.region, allowed_regions)
             for instance in instances
         )
 
--- a/packages/ragworthollow-daemon/src/ragworthollow_daemon/gateway/result_holding.py
+++ b/packages/ragworthollow-daemon/src/ragworthollow_daemon/gateway/result_holding.py
@@ -6,7 +6,7 @@
 
 from ragworthollow.membership.gateway_member import GatewayMember
 from ragworthollow.membership.gateway_members import GatewayMembers
-from ragworthollow.pieces import KeptResult, Piece, PieceResult
+from ragworthollow.pieces import Piece, PieceResult, StoredResult
 from ragworthollow.platform.stage_wire import get_maker_address
 from ragworthollow.transport.piece_messages import GateTransfer
 from ragworthollow.utils import get_monotonic_ms
@@ -57,12 +57,12 @@
         self._in_use.add(
             pool,
             (
-                KeptResult(
+                StoredResult(
                     handle=result.handle,
                     instance=self._find_producer(pool, result.handle),
                     result_bytes=piece.result_bytes,
-                    until_ms=expires_ms,
-                    asker=piece.asker,
+                    expires_ms=expires_ms,
+                    requester=piece.requester,
                 )
                 for piece, result in zip(pieces, results, strict=True)
                 if result.handle
@@ -91,7 +91,7 @@
         self,
         host: GatewayMember,
         pool: str,
-        results: tuple[KeptResult, ...],
+        results: tuple[StoredResult, ...],
     ) -> None:
         transfer = GateTransfer(
             pool=pool,
@@ -103,5 +103,5 @@
 
     def _find_producer(self, pool: str, handle: str) -> str:
         address = get_maker_address(handle)
-        producer = self._context.directory.find_at(pool, address)
+        producer = self._context.directory.find_by_address(pool, address)
         return '' if producer is None else producer.instance
--- a/packages/ragworthollow-daemon/src/ragworthollow_daemon/gateway/result_releases.py
+++ b/packages/ragworthollow-daemon/src/ragworthollow_daemon/gateway/result_releases.py
@@ -75,7 +75,9 @@
     """
     while True:
         instance = context.directory.get(producer)
-        if instance is None or context.directory.get_pause_left_ms(instance):
+        if instance is None or context.directory.get_remaining_pause_ms(
+            instance
+        ):
             return None
         throttle = PoolThrottle(
             context=context,
--- a/packages/ragworthollow-daemon/src/ragworthollow_daemon/gateway/stage_work.py
+++ b/packages/ragworthollow-daemon/src/ragworthollow_daemon/gateway/stage_work.py
@@ -6,7 +6,7 @@
 
 from ragworthollow.outcomes import Outcome, Reason
 from ragworthollow.pieces import Piece, PieceOutcome, PieceResult
-from ragworthollow.pieces.nearness import choose_domain
+from ragworthollow.pieces.nearness import choose_local_domain
 from ragworthollow_daemon.gateway.piece_client import PieceClient
 from ragworthollow_daemon.gateway.request_job import RequestJob
 from ragworthollow_daemon.gateway.stage_way import StageWay
@@ -139,7 +139,7 @@
             for earlier in dependencies
             for handle in self._handles[earlier]
         )
-        domain = choose_domain(
+        domain = choose_local_domain(
             self._sum_bytes_by_domain(position, dependencies),
         )
         pieces = self._make_pieces(position, inputs, domain)
@@ -216,9 +216,9 @@
                 result_bytes=stage.result_bytes,
                 failure_domain=failure_domain,
                 priority=self._job.get_priority(),
-                asker=self._client.requester,
+                requester=self._client.requester,
                 fingerprint=self._job.fingerprint,
-                homes=self._job.get_homes(),
+                allowed_regions=self._job.get_homes(),
             )
             for number in range(counts[position])
         )
--- a/packages/ragworthollow/src/ragworthollow/exchange/__init__.py
+++ b/packages/ragworthollow/src/ragworthollow/exchange/__init__.py
@@ -1,14 +1,14 @@
 """Describe a request and its responses independently of any protocol."""
 
-from ragworthollow.exchange.answer_marks import AnswerMarks
-from ragworthollow.exchange.request_terms import PromptPart, RequestTerms
-from ragworthollow.exchange.upstream_order import UpstreamOrder
-from ragworthollow.exchange.usual_limits import UsualLimits
+from ragworthollow.exchange.answer_marks import ResponseMetadata
+from ragworthollow.exchange.request_terms import PromptPart, RequestParameters
+from ragworthollow.exchange.upstream_order import AttemptMetadata
+from ragworthollow.exchange.usual_limits import TypicalTimeLimits
 
 __all__ = (
-    'AnswerMarks',
+    'AttemptMetadata',
     'PromptPart',
-    'RequestTerms',
-    'UpstreamOrder',
-    'UsualLimits',
+    'RequestParameters',
+    'ResponseMetadata',
+    'TypicalTimeLimits',
 )
--- a/packages/ragworthollow/src/ragworthollow/exchange/answer_marks.py
+++ b/packages/ragworthollow/src/ragworthollow/exchange/answer_marks.py
@@ -6,7 +6,7 @@
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
-class AnswerMarks:
+class ResponseMetadata:
     """
     Hold what one response says besides its body.
 
@@ -28,7 +28,7 @@
         Whether the upstream has begun to shut down.
     pause_ms : float or None
         How long the upstream asks this process to send no requests.
-    warm_up_left_ms : float
+    warm_up_remaining_ms : float
         Remaining warm-up time of the upstream; 0 if it does not report one.
     limit_per_s : float or None
         Requests per second that the upstream accepts from all gateways
@@ -44,6 +44,6 @@
     load: InstanceLoad | None = None
     is_leaving: bool = False
     pause_ms: float | None = None
-    warm_up_left_ms: float = 0
+    warm_up_remaining_ms: float = 0
     limit_per_s: float | None = None
     unreadable_limit: str = ''
--- a/packages/ragworthollow/src/ragworthollow/exchange/request_terms.py
+++ b/packages/ragworthollow/src/ragworthollow/exchange/request_terms.py
@@ -21,7 +21,7 @@
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
-class RequestTerms:
+class RequestParameters:
     """
     Hold the parameters that determine how a request is served.
 
--- a/packages/ragworthollow/src/ragworthollow/exchange/upstream_order.py
+++ b/packages/ragworthollow/src/ragworthollow/exchange/upstream_order.py
@@ -4,7 +4,7 @@
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
-class UpstreamOrder:
+class AttemptMetadata:
     """
     Hold what the gateway adds to a caller's request.
 
--- a/packages/ragworthollow/src/ragworthollow/exchange/usual_limits.py
+++ b/packages/ragworthollow/src/ragworthollow/exchange/usual_limits.py
@@ -6,7 +6,7 @@
 from ragworthollow.conf import global_settings
 
 
-class UsualLimits:
+class TypicalTimeLimits:
     """
     Track the time limits that callers of each route usually send.
 
@@ -21,7 +21,7 @@
     def __init__(self) -> None:
         self._recent: dict[str, deque[float]] = {}
 
-    def note(self, route: str, limit_ms: float) -> float:
+    def record(self, route: str, limit_ms: float) -> float:
         """
         Record the limit of a request.
 
--- a/packages/ragworthollow/src/ragworthollow/pieces/__init__.py
+++ b/packages/ragworthollow/src/ragworthollow/pieces/__init__.py
@@ -4,28 +4,28 @@
     AnnouncedWork,
     PeerAnnouncements,
 )
-from ragworthollow.pieces.call import ForeignCall, PieceCall
-from ragworthollow.pieces.gate import PieceGate
+from ragworthollow.pieces.call import PieceCall, RemoteCall
+from ragworthollow.pieces.gate import PieceScheduler
 from ragworthollow.pieces.piece import (
     Piece,
     PieceOutcome,
     PieceResult,
 )
-from ragworthollow.pieces.result_room import KeptResult, ResultSpace
+from ragworthollow.pieces.result_room import ResultSpace, StoredResult
 from ragworthollow.pieces.stage_run import StageRun
 from ragworthollow.pieces.waiting_piece import WaitingPiece
 
 __all__ = (
     'AnnouncedWork',
     'PeerAnnouncements',
-    'ForeignCall',
-    'KeptResult',
     'Piece',
     'PieceCall',
-    'PieceGate',
     'PieceOutcome',
     'PieceResult',
+    'PieceScheduler',
+    'RemoteCall',
     'ResultSpace',
     'StageRun',
+    'StoredResult',
     'WaitingPiece',
 )
--- a/packages/ragworthollow/src/ragworthollow/pieces/announced_work.py
+++ b/packages/ragworthollow/src/ragworthollow/pieces/announced_work.py
@@ -55,7 +55,7 @@
         self._counts: dict[str, CountsByPool] = {}
         self._received_ms: dict[str, float] = {}
 
-    def note(self, source: str, counts: CountsByPool, now_ms: float) -> None:
+    def record(self, source: str, counts: CountsByPool, now_ms: float) -> None:
         """Replace the announcements of one gateway."""
         self._counts[source] = counts
         self._received_ms[source] = now_ms
--- a/packages/ragworthollow/src/ragworthollow/pieces/call.py
+++ b/packages/ragworthollow/src/ragworthollow/pieces/call.py
@@ -16,7 +16,7 @@
     ----------
     instance : UpstreamInstance
         Instance that processes the call.
-    waiting : tuple of WaitingPiece
+    pieces : tuple of WaitingPiece
         Pieces of the call, in order.
     started_ms : float
         Time at which the call was sent, on the monotonic clock.
@@ -24,27 +24,27 @@
         Expected duration of the call.
     limit : BatchLimit
         Reason why the call carries no more pieces.
-    left : int
+    remaining_pieces : int
         Number of pieces that remained in the queue.
     free_bytes : float
         Free space for results at the instance, as accounted for here.
-    passed_on : set of WaitingPiece
+    hedged : set of WaitingPiece
         Pieces that were also queued for another call because this call is
         slow.
     """
 
     instance: UpstreamInstance
-    waiting: tuple[WaitingPiece, ...]
+    pieces: tuple[WaitingPiece, ...]
     started_ms: float
     expected_ms: float
     limit: BatchLimit = BatchLimit.queue
-    left: int = 0
+    remaining_pieces: int = 0
     free_bytes: float = 0
-    passed_on: set[WaitingPiece] = field(default_factory=set)
+    hedged: set[WaitingPiece] = field(default_factory=set)
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
-class ForeignCall:
+class RemoteCall:
     """
     Describe a call sent by another scheduler of the pool.
 
@@ -54,11 +54,11 @@
         Instance that processes the call.
     result_bytes : int
         Space that the results of the call will take.
-    until_ms : float
+    expires_ms : float
         Time until which the call counts unless that scheduler reports it
         again, on the monotonic clock.
     """
 
     instance: str
     result_bytes: int
-    until_ms: float
+    expires_ms: float
--- a/packages/ragworthollow/src/ragworthollow/pieces/gate.py
+++ b/packages/ragworthollow/src/ragworthollow/pieces/gate.py
@@ -22,12 +22,12 @@
 from ragworthollow.pieces.selection import select_pieces
 from ragworthollow.pieces.waiting_piece import WaitingPiece
 from ragworthollow.pieces.waits import estimate_domain_waits, estimate_wait_ms
-from ragworthollow.routes.homes import may_run_in
+from ragworthollow.routes.homes import is_region_allowed
 from ragworthollow.routes.upstream_pool import PieceProfile
-from ragworthollow.upstreams import LoadBook, UpstreamInstance
+from ragworthollow.upstreams import LoadTracker, UpstreamInstance
 
 
-class PieceGate:
+class PieceScheduler:
     """
     Queue the pieces of one pool and batch them into calls.
 
@@ -39,7 +39,7 @@
     """
 
     def __init__(self) -> None:
-        self.room = ResultSpace()
+        self.result_space = ResultSpace()
         self._queue: list[WaitingPiece] = []
         self.running = RunningCalls()
         self._throughput = QueueThroughput()
@@ -68,11 +68,11 @@
         """
         waiting.attempts += 1
         waiting.avoid.add(failed)
-        allowed_regions = waiting.piece.homes
+        allowed_regions = waiting.piece.allowed_regions
         allowed = [
             instance
             for instance in instances
-            if may_run_in(instance.region, allowed_regions)
+            if is_region_allowed(instance.region, allowed_regions)
         ]
         if waiting.avoid.issuperset(instance.instance for instance in allowed):
             waiting.avoid.clear()
@@ -86,32 +86,32 @@
         """Record that a call has ended."""
         self.running.own.remove(call)
 
-    def drop_asker(self, requester: str) -> None:
+    def cancel_requester(self, requester: str) -> None:
         """Cancel the queued pieces of a gateway that has terminated."""
         for waiting in self._queue:
-            if waiting.piece.asker == requester:
-                waiting.is_wanted = False
+            if waiting.piece.requester == requester:
+                waiting.is_awaited = False
 
     def release_queue(self) -> None:
         """Return queued pieces to their requesters for another scheduler."""
         for waiting in self._queue:
-            waiting.settle(PieceResult(outcome=PieceOutcome.moved))
+            waiting.resolve(PieceResult(outcome=PieceOutcome.moved))
         self._queue = []
 
     def refuse_queue(self) -> None:
         """Refuse all queued pieces because no instance may process them."""
         for waiting in self._queue:
-            waiting.settle(PieceResult(outcome=PieceOutcome.drained))
+            waiting.resolve(PieceResult(outcome=PieceOutcome.drained))
         self._queue = []
 
     def drop_unawaited(self, now_ms: float) -> None:
         """Remove pieces that are no longer awaited or are given up."""
         remaining = []
         for waiting in self._queue:
-            if not waiting.is_wanted:
+            if not waiting.is_awaited:
                 continue
             if should_give_up(waiting, now_ms):
-                waiting.settle(PieceResult(outcome=PieceOutcome.not_run))
+                waiting.resolve(PieceResult(outcome=PieceOutcome.not_run))
                 continue
             remaining.append(waiting)
         self._queue = remaining
@@ -197,7 +197,7 @@
         self,
         profile: PieceProfile,
         instances: Sequence[UpstreamInstance],
-        load_tracker: LoadBook,
+        load_tracker: LoadTracker,
         now_ms: float,
     ) -> list[PieceCall]:
         """
@@ -209,7 +209,7 @@
             Profile of the pool.
         instances : sequence of UpstreamInstance
             Instances that may receive work.
-        load_tracker : LoadBook
+        load_tracker : LoadTracker
             Load and health of the instances.
         now_ms : float
             Current time on the monotonic clock.
@@ -226,7 +226,7 @@
             )
             return []
         idle = self._find_idle(profile, instances, load_tracker, now_ms)
-        used = self.room.get_used(now_ms)
+        used = self.result_space.get_used_bytes(now_ms)
         for remote in self.running.get_remote_calls(now_ms):
             taken_bytes = used.get(remote.instance, 0) + remote.result_bytes
             used[remote.instance] = taken_bytes
@@ -245,7 +245,7 @@
             if call is not None:
                 calls.append(call)
         self._throughput.record(
-            started=sum(len(call.waiting) for call in calls),
+            started=sum(len(call.pieces) for call in calls),
             is_backlogged=bool(self._queue),
             now_ms=now_ms,
         )
@@ -285,7 +285,7 @@
         self,
         profile: PieceProfile,
         instances: Sequence[UpstreamInstance],
-        load_tracker: LoadBook,
+        load_tracker: LoadTracker,
         now_ms: float,
     ) -> list[UpstreamInstance]:
         busy = self.running.get_busy_instances(now_ms)
@@ -315,7 +315,7 @@
         used: dict[str, int],
         now_ms: float,
     ) -> PieceCall | None:
-        space_bytes = profile.room_bytes / global_settings.ROOM_MARGIN
+        space_bytes = profile.result_space_bytes / global_settings.ROOM_MARGIN
         free_bytes = space_bytes - used.get(instance.instance, 0)
         taken = select_pieces(
             [
@@ -339,11 +339,11 @@
         ]
         call = PieceCall(
             instance=instance,
-            waiting=tuple(taken),
+            pieces=tuple(taken),
             started_ms=now_ms,
             expected_ms=profile.estimate_ms(len(taken)),
             limit=limit,
-            left=len(self._queue),
+            remaining_pieces=len(self._queue),
             free_bytes=free_bytes,
         )
         self.running.own.append(call)
@@ -352,6 +352,6 @@
 
 def _may_process(instance: UpstreamInstance, waiting: WaitingPiece) -> bool:
     """Return whether an instance may process a piece and has not failed it."""
-    if not may_run_in(instance.region, waiting.piece.homes):
+    if not is_region_allowed(instance.region, waiting.piece.allowed_regions):
         return False
     return instance.instance not in waiting.avoid
--- a/packages/ragworthollow/src/ragworthollow/pieces/nearness.py
+++ b/packages/ragworthollow/src/ragworthollow/pieces/nearness.py
@@ -5,7 +5,7 @@
 from ragworthollow.conf import global_settings
 
 
-def choose_domain(bytes_by_domain: Mapping[str, float]) -> str:
+def choose_local_domain(bytes_by_domain: Mapping[str, float]) -> str:
     """
     Choose the failure domain that minimises traffic between domains.
 
--- a/packages/ragworthollow/src/ragworthollow/pieces/piece.py
+++ b/packages/ragworthollow/src/ragworthollow/pieces/piece.py
@@ -3,7 +3,7 @@
 import enum
 from dataclasses import dataclass
 
-from ragworthollow.routes.homes import Homes
+from ragworthollow.routes.homes import AllowedRegions
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
@@ -37,12 +37,12 @@
         Preferred failure domain, which minimises traffic; empty for none.
     priority : int
         Priority of the request, 0 first.
-    asker : str
+    requester : str
         Incarnation of the gateway that handles the request.
     fingerprint : str
         Hash that is the same for each attempt at the same work; empty if
         unknown.
-    homes : frozenset of str or None
+    allowed_regions : frozenset of str or None
         Regions in which the piece may be processed; None for any.
     """
 
@@ -57,9 +57,9 @@
     result_bytes: int = 0
     failure_domain: str = ''
     priority: int = 0
-    asker: str = ''
+    requester: str = ''
     fingerprint: str = ''
-    homes: Homes | None = None
+    allowed_regions: AllowedRegions | None = None
 
 
 class PieceOutcome(enum.StrEnum):
--- a/packages/ragworthollow/src/ragworthollow/pieces/result_room.py
+++ b/packages/ragworthollow/src/ragworthollow/pieces/result_room.py
@@ -6,7 +6,7 @@
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
-class KeptResult:
+class StoredResult:
     """
     Describe a result that occupies space at an instance.
 
@@ -18,17 +18,17 @@
         Instance that produced and stores the result.
     result_bytes : int
         Approximate size.
-    until_ms : float
+    expires_ms : float
         Time at which the instance drops the result, on the monotonic clock.
-    asker : str
+    requester : str
         Incarnation of the gateway whose request holds the result.
     """
 
     handle: str
     instance: str
     result_bytes: int
-    until_ms: float
-    asker: str = ''
+    expires_ms: float
+    requester: str = ''
 
 
 @dataclass(kw_only=True, slots=True)
@@ -41,11 +41,13 @@
     work.
     """
 
-    _results_by_handle: dict[str, KeptResult] = field(default_factory=dict)
-    _untracked_by_instance: dict[str, KeptResult] = field(default_factory=dict)
+    _results_by_handle: dict[str, StoredResult] = field(default_factory=dict)
+    _untracked_by_instance: dict[str, StoredResult] = field(
+        default_factory=dict
+    )
     _released_expires_ms: dict[str, float] = field(default_factory=dict)
 
-    def note_unknown(
+    def record_untracked(
         self,
         instance: str,
         result_bytes: int,
@@ -57,14 +59,14 @@
         They were requested by a gateway that has terminated, and the instance
         drops them after a while.  Its remaining space is used in the meantime.
         """
-        self._untracked_by_instance[instance] = KeptResult(
+        self._untracked_by_instance[instance] = StoredResult(
             handle='',
             instance=instance,
             result_bytes=result_bytes,
-            until_ms=expires_ms,
+            expires_ms=expires_ms,
         )
 
-    def keep(self, stored: KeptResult) -> None:
+    def add(self, stored: StoredResult) -> None:
         """
         Record a result that occupies space until it is released or expires.
 
@@ -74,7 +76,7 @@
         if self._released_expires_ms.pop(stored.handle, None) is None:
             self._results_by_handle[stored.handle] = stored
 
-    def free(self, handle: str, now_ms: float) -> str:
+    def release(self, handle: str, now_ms: float) -> str:
         """Remove a result; return its producer, empty if it is untracked."""
         stored = self._results_by_handle.pop(handle, None)
         if stored is not None:
@@ -92,7 +94,7 @@
         return tuple(
             stored.handle
             for stored in self._results_by_handle.values()
-            if stored.asker == requester
+            if stored.requester == requester
         )
 
     def forget_instance(self, instance: str) -> None:
@@ -102,24 +104,24 @@
             if stored.instance == instance:
                 self._results_by_handle.pop(handle)
 
-    def take_all(self) -> tuple[KeptResult, ...]:
+    def pop_all(self) -> tuple[StoredResult, ...]:
         """Remove and return all results, for another scheduler of the pool."""
         results = tuple(self._results_by_handle.values())
         self._results_by_handle.clear()
         return results
 
-    def get_used(self, now_ms: float) -> dict[str, int]:
+    def get_used_bytes(self, now_ms: float) -> dict[str, int]:
         """Remove expired results; return the bytes in use by instance."""
         used: dict[str, int] = {}
         for handle, stored in tuple(self._results_by_handle.items()):
-            if stored.until_ms <= now_ms:
+            if stored.expires_ms <= now_ms:
                 self._results_by_handle.pop(handle)
                 continue
             used[stored.instance] = (
                 used.get(stored.instance, 0) + stored.result_bytes
             )
         for instance, untracked in tuple(self._untracked_by_instance.items()):
-            if untracked.until_ms <= now_ms:
+            if untracked.expires_ms <= now_ms:
                 self._untracked_by_instance.pop(instance)
                 continue
             used[instance] = used.get(instance, 0) + untracked.result_bytes
--- a/packages/ragworthollow/src/ragworthollow/pieces/running_calls.py
+++ b/packages/ragworthollow/src/ragworthollow/pieces/running_calls.py
@@ -3,7 +3,7 @@
 from collections.abc import Sequence
 from dataclasses import dataclass, field
 
-from ragworthollow.pieces.call import ForeignCall, PieceCall
+from ragworthollow.pieces.call import PieceCall, RemoteCall
 
 
 @dataclass(kw_only=True, slots=True)
@@ -22,9 +22,11 @@
     """
 
     own: list[PieceCall] = field(default_factory=list)
-    _remote: dict[str, tuple[ForeignCall, ...]] = field(default_factory=dict)
+    _remote: dict[str, tuple[RemoteCall, ...]] = field(default_factory=dict)
 
-    def learn(self, source: str, calls: Sequence[ForeignCall]) -> None:
+    def record_remote_calls(
+        self, source: str, calls: Sequence[RemoteCall]
+    ) -> None:
         """
         Replace the calls that another scheduler of the pool has in progress.
 
@@ -32,18 +34,18 @@
         ----------
         source : str
             Host of that scheduler; its previous report is discarded.
-        calls : sequence of ForeignCall
+        calls : sequence of RemoteCall
             All calls of that scheduler that are in progress.
         """
         self._remote[source] = tuple(calls)
 
-    def get_remote_calls(self, now_ms: float) -> list[ForeignCall]:
+    def get_remote_calls(self, now_ms: float) -> list[RemoteCall]:
         """Return the calls of other schedulers that have not expired."""
         return [
             call
             for calls in self._remote.values()
             for call in calls
-            if call.until_ms > now_ms
+            if call.expires_ms > now_ms
         ]
 
     def get_busy_instances(self, now_ms: float) -> list[str]:
--- a/packages/ragworthollow/src/ragworthollow/pieces/selection.py
+++ b/packages/ragworthollow/src/ragworthollow/pieces/selection.py
@@ -79,4 +79,7 @@
     if first.stage_run.is_started or len(group) > profile.batch_limit:
         return False
     call_bytes = first.piece.result_bytes * profile.batch_limit
-    return call_bytes * global_settings.WHOLE_STAGE_CALLS > profile.room_bytes
+    return (
+        call_bytes * global_settings.WHOLE_STAGE_CALLS
+        > profile.result_space_bytes
+    )
--- a/packages/ragworthollow/src/ragworthollow/pieces/waiting_piece.py
+++ b/packages/ragworthollow/src/ragworthollow/pieces/waiting_piece.py
@@ -26,7 +26,7 @@
         Instances at which the piece has failed.
     stage_run : StageRun
         State of the stage that the piece belongs to.
-    is_wanted : bool
+    is_awaited : bool
         False once the requesting gateway has the result or has terminated.
     """
 
@@ -36,9 +36,9 @@
     stage_run: StageRun
     attempts: int = 0
     avoid: set[str] = field(default_factory=set)
-    is_wanted: bool = True
+    is_awaited: bool = True
 
-    def settle(self, piece_result: PieceResult) -> None:
+    def resolve(self, piece_result: PieceResult) -> None:
         """Deliver the result; the piece is no longer awaited."""
-        self.is_wanted = False
+        self.is_awaited = False
         self.on_result(piece_result)
--- a/packages/ragworthollow/src/ragworthollow/platform/answer_wire.py
+++ b/packages/ragworthollow/src/ragworthollow/platform/answer_wire.py
@@ -5,7 +5,7 @@
 
 from multidict import CIMultiDict, CIMultiDictProxy
 
-from ragworthollow.exchange import AnswerMarks
+from ragworthollow.exchange import ResponseMetadata
 from ragworthollow.upstreams import InstanceLoad
 
 _ID = 'X-Ragworthollow-Request-Id'
@@ -41,7 +41,7 @@
 )
 
 
-def read_marks(status: int, headers: Mapping[str, str]) -> AnswerMarks:
+def read_marks(status: int, headers: Mapping[str, str]) -> ResponseMetadata:
     """
     Decode the marks of an answer.
 
@@ -53,7 +53,7 @@
         As received.
     """
     limit_per_s, unreadable_limit = _read_limit(headers)
-    return AnswerMarks(
+    return ResponseMetadata(
         request_id=headers.get(_ID, ''),
         is_signed=_SIGNATURE in headers,
         is_not_run=_NOT_RUN in headers or status == _MISDIRECTED,
@@ -61,7 +61,7 @@
         load=read_load(headers),
         is_leaving=headers.get(_LEAVING, '').strip() == '1',
         pause_ms=_read_pause_ms(status, headers),
-        warm_up_left_ms=_read_warm_up_ms(headers),
+        warm_up_remaining_ms=_read_warm_up_ms(headers),
         limit_per_s=limit_per_s,
         unreadable_limit=unreadable_limit,
     )
--- a/packages/ragworthollow/src/ragworthollow/platform/configuration_wire.py
+++ b/packages/ragworthollow/src/ragworthollow/platform/configuration_wire.py
@@ -7,15 +7,15 @@
 from ragworthollow.routes import (
     KeyHolder,
     PieceProfile,
-    PoolShare,
     RequestLimits,
     Route,
     RouteKind,
     RouteTable,
-    StageStep,
+    StageDefinition,
     UpstreamPool,
+    WeightedPool,
 )
-from ragworthollow.routes.homes import Homes
+from ragworthollow.routes.homes import AllowedRegions
 from ragworthollow.utils.message import Message
 
 CONFIGURATION_KEY = 'op/config'
@@ -160,7 +160,7 @@
             key: KeyHolder(
                 organisation=one.name,
                 priority=one.priority,
-                homes=_to_homes(one.allowed_regions),
+                allowed_regions=_to_homes(one.allowed_regions),
             )
             for one in tenants
             for key in one.api_keys
@@ -177,12 +177,12 @@
         host=found.host.lower(),
         path_prefix=found.path_prefix,
         kind=found.kind,
-        shares=tuple(
-            PoolShare(pool=split.backend, weight=split.weight)
+        weighted_pools=tuple(
+            WeightedPool(pool=split.backend, weight=split.weight)
             for split in splits
         ),
         stages=tuple(
-            StageStep(
+            StageDefinition(
                 pool=stage.backend,
                 after=stage.after,
                 result_bytes=stage.result_bytes,
@@ -195,11 +195,11 @@
         priority=found.priority,
         is_public=found.public,
         can_resume=found.can_resume,
-        homes=_to_homes(found.allowed_regions),
+        allowed_regions=_to_homes(found.allowed_regions),
     )
 
 
-def _to_homes(regions: tuple[str, ...] | None) -> Homes | None:
+def _to_homes(regions: tuple[str, ...] | None) -> AllowedRegions | None:
     """Return the homes that a list names; an empty one names none."""
     return frozenset(regions) if regions else None
 
@@ -212,8 +212,8 @@
             batch_limit=found.pieces.batch,
             call_ms=found.pieces.call_ms,
             piece_ms=found.pieces.item_ms,
-            room_bytes=int(found.pieces.headroom_mb * _BYTES_PER_MB),
-            kept_ms=found.pieces.handle_s * 1000,
+            result_space_bytes=int(found.pieces.headroom_mb * _BYTES_PER_MB),
+            result_ttl_ms=found.pieces.handle_s * 1000,
         )
     return UpstreamPool(
         name=found.name,
--- a/packages/ragworthollow/src/ragworthollow/platform/instances_wire.py
+++ b/packages/ragworthollow/src/ragworthollow/platform/instances_wire.py
@@ -79,7 +79,7 @@
         slots=found.slots,
         is_leaving=found.state is _State.leaving,
         started_unix_ms=found.born,
-        warm_up_left_ms=max(0, found.cold_left_ms),
+        warm_up_remaining_ms=max(0, found.cold_left_ms),
     )
 
 
--- a/packages/ragworthollow/src/ragworthollow/platform/request_wire.py
+++ b/packages/ragworthollow/src/ragworthollow/platform/request_wire.py
@@ -4,7 +4,11 @@
 
 from multidict import CIMultiDict, CIMultiDictProxy
 
-from ragworthollow.exchange import PromptPart, RequestTerms, UpstreamOrder
+from ragworthollow.exchange import (
+    AttemptMetadata,
+    PromptPart,
+    RequestParameters,
+)
 
 READY_PATH = '/api/ready'
 
@@ -59,7 +63,7 @@
 )
 
 
-def read_terms(headers: Mapping[str, str]) -> RequestTerms:
+def read_terms(headers: Mapping[str, str]) -> RequestParameters:
     """
     Decode the headers that decide how a request is served.
 
@@ -72,7 +76,7 @@
         As received.
     """
     prompt_tokens, output_tokens = _read_pair(headers.get(_TOKENS, ''))
-    return RequestTerms(
+    return RequestParameters(
         request_id=headers.get(_ID, ''),
         key=_read_key(headers.get('Authorization', '')),
         time_limit_ms=_read_number(headers.get(_DEADLINE, '')),
@@ -87,7 +91,7 @@
 
 def make_upstream_headers(
     received: CIMultiDictProxy[str],
-    order: UpstreamOrder,
+    order: AttemptMetadata,
 ) -> CIMultiDict[str]:
     """
     Make the headers of one attempt.
@@ -96,7 +100,7 @@
     ----------
     received : CIMultiDictProxy
         The caller's headers.
-    order : UpstreamOrder
+    order : AttemptMetadata
         What this attempt adds.
     """
     named = {
--- a/packages/ragworthollow/src/ragworthollow/routes/__init__.py
+++ b/packages/ragworthollow/src/ragworthollow/routes/__init__.py
@@ -2,18 +2,23 @@
 
 from ragworthollow.routes.key_holder import KeyHolder
 from ragworthollow.routes.request_limits import RequestLimits
-from ragworthollow.routes.route import PoolShare, Route, RouteKind, StageStep
+from ragworthollow.routes.route import (
+    Route,
+    RouteKind,
+    StageDefinition,
+    WeightedPool,
+)
 from ragworthollow.routes.route_table import RouteTable
 from ragworthollow.routes.upstream_pool import PieceProfile, UpstreamPool
 
 __all__ = (
     'KeyHolder',
     'PieceProfile',
-    'PoolShare',
     'RequestLimits',
     'Route',
     'RouteKind',
     'RouteTable',
-    'StageStep',
+    'StageDefinition',
     'UpstreamPool',
+    'WeightedPool',
 )
--- a/packages/ragworthollow/src/ragworthollow/routes/homes.py
+++ b/packages/ragworthollow/src/ragworthollow/routes/homes.py
@@ -1,9 +1,11 @@
 """Restrict the regions in which a request may run."""
 
-Homes = frozenset[str]
+AllowedRegions = frozenset[str]
 
 
-def intersect_homes(first: Homes | None, second: Homes | None) -> Homes | None:
+def intersect_regions(
+    first: AllowedRegions | None, second: AllowedRegions | None
+) -> AllowedRegions | None:
     """
     Return the regions that two restrictions on a request both allow.
 
@@ -24,7 +26,9 @@
     return first & second
 
 
-def may_run_in(region: str, allowed_regions: Homes | None) -> bool:
+def is_region_allowed(
+    region: str, allowed_regions: AllowedRegions | None
+) -> bool:
     """
     Return whether a request may run in a region.
 
--- a/packages/ragworthollow/src/ragworthollow/routes/key_holder.py
+++ b/packages/ragworthollow/src/ragworthollow/routes/key_holder.py
@@ -2,7 +2,7 @@
 
 from dataclasses import dataclass
 
-from ragworthollow.routes.homes import Homes
+from ragworthollow.routes.homes import AllowedRegions
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
@@ -16,10 +16,10 @@
         Name of the organisation, as sent to upstreams.
     priority : int or None
         Priority of its requests, 0 first; None to use that of the route.
-    homes : frozenset of str or None
+    allowed_regions : frozenset of str or None
         Regions in which its requests may run; None for any.
     """
 
     organisation: str
     priority: int | None = None
-    homes: Homes | None = None
+    allowed_regions: AllowedRegions | None = None
--- a/packages/ragworthollow/src/ragworthollow/routes/route.py
+++ b/packages/ragworthollow/src/ragworthollow/routes/route.py
@@ -3,7 +3,7 @@
 import enum
 from dataclasses import dataclass
 
-from ragworthollow.routes.homes import Homes
+from ragworthollow.routes.homes import AllowedRegions
 
 
 class RouteKind(enum.StrEnum):
@@ -15,7 +15,7 @@
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
-class PoolShare:
+class WeightedPool:
     """
     Assign a weighted share of a route's requests to a pool.
 
@@ -32,7 +32,7 @@
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
-class StageStep:
+class StageDefinition:
     """
     Describe one stage of work that precedes the request itself.
 
@@ -66,9 +66,9 @@
         Prefix of the path, with a slash at both ends.
     kind : RouteKind
         Whether requests may be repeated, and whether responses are streams.
-    shares : tuple of PoolShare
+    weighted_pools : tuple of WeightedPool
         Pools that serve the route, with their weights.
-    stages : tuple of StageStep
+    stages : tuple of StageDefinition
         Stages that run before the request itself, by position.
     timeout_ms : float
         Maximum time that a caller is kept waiting.
@@ -82,7 +82,7 @@
         Whether requests are served without an API key.
     can_resume : bool
         Whether a stream may be resumed at another instance.
-    homes : frozenset of str or None
+    allowed_regions : frozenset of str or None
         Regions in which its requests may run; None for any.
     """
 
@@ -90,15 +90,15 @@
     host: str
     path_prefix: str
     kind: RouteKind
-    shares: tuple[PoolShare, ...]
-    stages: tuple[StageStep, ...] = ()
+    weighted_pools: tuple[WeightedPool, ...]
+    stages: tuple[StageDefinition, ...] = ()
     timeout_ms: float
     objective_ms: float
     max_attempts: int = 1
     priority: int = 0
     is_public: bool = False
     can_resume: bool = False
-    homes: Homes | None = None
+    allowed_regions: AllowedRegions | None = None
 
     def is_idempotent(self) -> bool:
         """Return whether a request may run more than once."""
--- a/packages/ragworthollow/src/ragworthollow/routes/route_table.py
+++ b/packages/ragworthollow/src/ragworthollow/routes/route_table.py
@@ -74,6 +74,6 @@
                 return route
         return None
 
-    def identify(self, key: str) -> KeyHolder | None:
+    def find_key_holder(self, key: str) -> KeyHolder | None:
         """Return the owner of an API key, or None for an unknown key."""
         return self._holders_by_key.get(key)
--- a/packages/ragworthollow/src/ragworthollow/routes/upstream_pool.py
+++ b/packages/ragworthollow/src/ragworthollow/routes/upstream_pool.py
@@ -18,9 +18,9 @@
         Fixed time of a call, without its pieces.
     piece_ms : float
         Approximate additional time per piece.
-    room_bytes : int
+    result_space_bytes : int
         Storage for results at one instance.
-    kept_ms : float
+    result_ttl_ms : float
         How long an instance keeps a result that is not released.
     """
 
@@ -28,8 +28,8 @@
     batch_limit: int
     call_ms: float
     piece_ms: float
-    room_bytes: int
-    kept_ms: float
+    result_space_bytes: int
+    result_ttl_ms: float
 
     def estimate_ms(self, pieces: int) -> float:
         """Return the expected duration of a call in milliseconds."""
--- a/packages/ragworthollow/src/ragworthollow/transport/piece_messages.py
+++ b/packages/ragworthollow/src/ragworthollow/transport/piece_messages.py
@@ -101,7 +101,7 @@
 
 
 class KeptResultMessage(Message):
-    """Tell of a result that takes space, as `KeptResult` does."""
+    """Tell of a result that takes space, as `StoredResult` does."""
 
     handle: str
     instance: str
@@ -111,7 +111,7 @@
 
 
 class ForeignCallMessage(Message):
-    """Tell of a call that is worked on, as `ForeignCall` does."""
+    """Tell of a call that is worked on, as `RemoteCall` does."""
 
     instance: str
     result_bytes: int
@@ -149,7 +149,7 @@
     return msgspec.json.encode(
         PiecesOrder(
             pool=pool,
-            asker=pieces[0].asker,
+            asker=pieces[0].requester,
             orders=tuple(
                 PieceOrder(
                     request_id=piece.request_id,
@@ -164,7 +164,9 @@
                     failure_domain=piece.failure_domain,
                     priority=piece.priority,
                     fingerprint=piece.fingerprint,
-                    homes=None if piece.homes is None else tuple(piece.homes),
+                    homes=None
+                    if piece.allowed_regions is None
+                    else tuple(piece.allowed_regions),
                 )
                 for piece in pieces
             ),
@@ -188,8 +190,8 @@
             failure_domain=one.failure_domain,
             priority=one.priority,
             fingerprint=one.fingerprint,
-            homes=None if one.homes is None else frozenset(one.homes),
-            asker=order.asker,
+            allowed_regions=None if one.homes is None else frozenset(one.homes),
+            requester=order.asker,
         )
         for one in order.orders
     )
--- a/packages/ragworthollow/src/ragworthollow/upstreams/answer_time.py
+++ b/packages/ragworthollow/src/ragworthollow/upstreams/answer_time.py
@@ -6,7 +6,7 @@
 
 
 @dataclass(kw_only=True, slots=True)
-class AnswerTime:
+class FirstEventLatency:
     """
     Estimate the time to the first event from the length of the prompt.
 
@@ -24,7 +24,7 @@
     _tokens_squared: float = 0
     _tokens_times_duration: float = 0
 
-    def note(self, tokens: int, took_ms: float) -> None:
+    def record(self, tokens: int, took_ms: float) -> None:
         """
         Record one response.
 
--- a/packages/ragworthollow/src/ragworthollow/upstreams/choice.py
+++ b/packages/ragworthollow/src/ragworthollow/upstreams/choice.py
@@ -5,13 +5,13 @@
 from dataclasses import dataclass
 
 from ragworthollow.conf import global_settings
-from ragworthollow.upstreams.load_book import LoadBook
+from ragworthollow.upstreams.load_book import LoadTracker
 from ragworthollow.upstreams.upstream_instance import UpstreamInstance
 from ragworthollow.utils.hashing import get_rank
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
-class UpstreamWish:
+class UpstreamCriteria:
     """
     Hold the selection criteria of one attempt.
 
@@ -32,8 +32,8 @@
 
 def choose_upstream(
     instances: Sequence[UpstreamInstance],
-    load_tracker: LoadBook,
-    criteria: UpstreamWish,
+    load_tracker: LoadTracker,
+    criteria: UpstreamCriteria,
     now_ms: float,
     rng: random.Random,
 ) -> UpstreamInstance | None:
@@ -52,9 +52,9 @@
     ----------
     instances : sequence of UpstreamInstance
         Instances of one pool.
-    load_tracker : LoadBook
+    load_tracker : LoadTracker
         Load and health of the instances.
-    criteria : UpstreamWish
+    criteria : UpstreamCriteria
         Selection criteria of the attempt.
     now_ms : float
         Current time on the monotonic clock.
@@ -104,12 +104,14 @@
 
 def _get_depth(
     candidate: UpstreamInstance,
-    load_tracker: LoadBook,
+    load_tracker: LoadTracker,
     now_ms: float,
 ) -> float:
     """Return the load as a fraction of the instance's slots."""
     record = load_tracker.get(candidate.instance)
-    others = record.get_others(now_ms) * global_settings.REPORTED_LOAD_TRUST
+    others = (
+        record.get_other_requests(now_ms) * global_settings.REPORTED_LOAD_TRUST
+    )
     return (record.in_flight + others) / max(1, candidate.slots)
 
 
--- a/packages/ragworthollow/src/ragworthollow/upstreams/directory.py
+++ b/packages/ragworthollow/src/ragworthollow/upstreams/directory.py
@@ -77,7 +77,7 @@
         self.drains = DomainDrains()
         self.updated_ms = float('-inf')
 
-    def note_outage(self) -> None:
+    def record_outage(self) -> None:
         """Record that the list could not be read."""
         self._is_store_unavailable = True
 
@@ -136,7 +136,7 @@
         """Return whether any list has been applied."""
         return math.isfinite(self.updated_ms)
 
-    def note_leaving(self, incarnation: str, since_ms: float) -> bool:
+    def record_leaving(self, incarnation: str, since_ms: float) -> bool:
         """
         Stop sending to an instance that has announced its shutdown.
 
@@ -166,11 +166,11 @@
         """Return when each instance announced its shutdown."""
         return self._signals.get_leaving()
 
-    def note_pause(self, instance: UpstreamInstance, until_ms: float) -> None:
+    def record_pause(self, instance: UpstreamInstance, until_ms: float) -> None:
         """Pause an instance until a time on the monotonic clock."""
         self._signals.record_pause(instance.get_incarnation(), until_ms)
 
-    def get_pause_left_ms(self, instance: UpstreamInstance) -> float:
+    def get_remaining_pause_ms(self, instance: UpstreamInstance) -> float:
         """Return the rest of an instance's pause; 0 if it is not paused."""
         return self._signals.get_remaining_pause_ms(
             instance.get_incarnation(),
@@ -179,7 +179,9 @@
 
     def get_pool_pause_ms(self, pool: str) -> float:
         """Return the shortest remaining pause in a pool; 0 if any has none."""
-        pauses_ms = map(self.get_pause_left_ms, self._by_pool.get(pool, ()))
+        pauses_ms = map(
+            self.get_remaining_pause_ms, self._by_pool.get(pool, ())
+        )
         return min(pauses_ms, default=0)
 
     def get_pool(self, pool: str) -> tuple[UpstreamInstance, ...]:
@@ -188,7 +190,7 @@
         if not self._signals.has_pauses():
             return members
         return tuple(
-            entry for entry in members if not self.get_pause_left_ms(entry)
+            entry for entry in members if not self.get_remaining_pause_ms(entry)
         )
 
     def is_pool_drained(self, pool: str) -> bool:
@@ -199,7 +201,9 @@
         """Return an instance that may receive requests, or None."""
         return self._by_id.get(instance)
 
-    def find_at(self, pool: str, address: str) -> UpstreamInstance | None:
+    def find_by_address(
+        self, pool: str, address: str
+    ) -> UpstreamInstance | None:
         """Return the instance of a pool at an address, or None."""
         for entry in self._by_pool.get(pool, ()):
             if entry.address == address:
--- a/packages/ragworthollow/src/ragworthollow/upstreams/load_book.py
+++ b/packages/ragworthollow/src/ragworthollow/upstreams/load_book.py
@@ -35,7 +35,7 @@
     suspect_until_ms: float = field(default=float('-inf'))
     failures: int = 0
 
-    def get_others(self, now_ms: float) -> int:
+    def get_other_requests(self, now_ms: float) -> int:
         """Return the requests of other processes, by the latest report."""
         age_ms = now_ms - self.reported_ms
         if self.load is None or age_ms > global_settings.LOAD_STALE_MS:
@@ -44,7 +44,7 @@
         return max(0, reported - self.in_flight_at_report)
 
 
-class LoadBook:
+class LoadTracker:
     """Hold the load and health record of each instance."""
 
     def __init__(self) -> None:
@@ -73,7 +73,7 @@
         """
         self._records.pop(instance, None)
 
-    def note_load(
+    def record_load(
         self,
         instance: str,
         load: InstanceLoad,
@@ -85,13 +85,13 @@
         record.reported_ms = now_ms
         record.in_flight_at_report = record.in_flight
 
-    def note_success(self, instance: str) -> None:
+    def record_success(self, instance: str) -> None:
         """Reset the failure count and the suspicion of an instance."""
         record = self.get(instance)
         record.failures = 0
         record.suspect_until_ms = float('-inf')
 
-    def note_failure(self, instance: str, now_ms: float) -> None:
+    def record_failure(self, instance: str, now_ms: float) -> None:
         """
         Mark an instance as suspect for a limited time.
 
--- a/packages/ragworthollow/src/ragworthollow/upstreams/upstream_instance.py
+++ b/packages/ragworthollow/src/ragworthollow/upstreams/upstream_instance.py
@@ -27,7 +27,7 @@
         state it.
     region : str
         Region of the failure domain; empty if unknown.
-    warm_up_left_ms : float
+    warm_up_remaining_ms : float
         Remaining warm-up time when the entry was written.
     """
 
@@ -39,7 +39,7 @@
     is_leaving: bool = False
     started_unix_ms: int = 0
     region: str = ''
-    warm_up_left_ms: float = 0
+    warm_up_remaining_ms: float = 0
 
     def get_incarnation(self) -> str:
         """Return an identifier that is unique to this incarnation."""
--- a/tests/features/steps/domain_drains.py
+++ b/tests/features/steps/domain_drains.py
@@ -12,7 +12,7 @@
 from ragworthollow.platform.store_snapshot import StoreSnapshot
 from ragworthollow.platform.stored import Stored
 from ragworthollow.replica import Replica
-from ragworthollow.upstreams import Directory, LoadBook
+from ragworthollow.upstreams import Directory, LoadTracker
 from ragworthollow_ctl.commands.instances import instances
 from ragworthollow_daemon.gateway.instances_follower import InstancesFollower
 from ragworthollow_daemon.gateway.piece_service import PieceService
@@ -242,7 +242,7 @@
     async def hang(_context, call):
         await is_over.wait()
         return Ok(
-            (PieceResult(outcome=PieceOutcome.failed),) * len(call.waiting)
+            (PieceResult(outcome=PieceOutcome.failed),) * len(call.pieces)
         )
 
     async def deny(_context, _instance):
@@ -287,7 +287,7 @@
     follower = InstancesFollower(
         context=SimpleNamespace(
             directory=directory,
-            book=LoadBook(),
+            book=LoadTracker(),
             metrics=Metrics(),
             throttle=make_throttle(),
             settings=make_settings(),
--- a/tests/features/steps/gate_hosts.py
+++ b/tests/features/steps/gate_hosts.py
@@ -5,7 +5,7 @@
 import msgspec
 from behave import then, when
 
-from ragworthollow.pieces import KeptResult
+from ragworthollow.pieces import StoredResult
 from ragworthollow.transport.piece_messages import ResultsRelease
 from ragworthollow_daemon.gateway.piece_exchange import FREE_PATH
 from tests.fixtures.staged import NAMES, send_staged
@@ -100,12 +100,12 @@
     host = _find_host(stage)
     maker = stage.upstreams['s1']
     handle = f'{maker.address}/kept'
-    _get_room(stage, host).keep(
-        KeptResult(
+    _get_room(stage, host).add(
+        StoredResult(
             handle=handle,
             instance='s1',
             result_bytes=1_000_000,
-            until_ms=_NEVER_MS,
+            expires_ms=_NEVER_MS,
         ),
     )
     other = next(name for name in NAMES if name != host)
@@ -128,12 +128,12 @@
 
 
 def _get_room(stage, name: str):
-    return stage.gateways[name].service.get_gates().get('stage').room
+    return stage.gateways[name].service.get_gates().get('stage').result_space
 
 
 @then('it is given up once, and the host counts it no more')
 def check_freed_once(context):
     stage = context.gateway_stage
     assert len(stage.upstreams['s1'].freed) == 1
-    used = _get_room(stage, _find_host(stage)).get_used(0)
+    used = _get_room(stage, _find_host(stage)).get_used_bytes(0)
     assert not used, used
--- a/tests/features/steps/homes.py
+++ b/tests/features/steps/homes.py
@@ -4,8 +4,8 @@
 
 from behave import given, then, when
 
-from ragworthollow.pieces import PieceGate
-from ragworthollow.upstreams import LoadBook, UpstreamInstance
+from ragworthollow.pieces import PieceScheduler
+from ragworthollow.upstreams import LoadTracker, UpstreamInstance
 from tests.fixtures.piece_pool import make_profile, make_waiting
 
 _REGIONS = {'one': 'east', 'two': 'west', 'three': 'north'}
@@ -111,13 +111,13 @@
         for region in ('east', 'west')
         for number in range(2)
     ]
-    gate = PieceGate()
+    gate = PieceScheduler()
     profile = make_profile(1)
     context.makers = []
-    waiting = make_waiting(500, homes=frozenset(('west',)))
+    waiting = make_waiting(500, allowed_regions=frozenset(('west',)))
     gate.submit(waiting)
     for _ in range(_MOST_TRIES):
-        (call,) = gate.plan(profile, instances, LoadBook(), 0)
+        (call,) = gate.plan(profile, instances, LoadTracker(), 0)
         context.makers.append(call.instance.instance)
         gate.finish(call)
         gate.resubmit(waiting, call.instance.instance, instances)
--- a/tests/features/steps/instance_entries.py
+++ b/tests/features/steps/instance_entries.py
@@ -10,10 +10,10 @@
 from hypothesis import strategies as st
 from result import Ok
 
-from ragworthollow.pieces import KeptResult, PieceOutcome, PieceResult
+from ragworthollow.pieces import PieceOutcome, PieceResult, StoredResult
 from ragworthollow.platform.instances_wire import decode_instance
 from ragworthollow.platform.stored import Stored
-from ragworthollow.upstreams import Directory, LoadBook, UpstreamInstance
+from ragworthollow.upstreams import Directory, LoadTracker, UpstreamInstance
 from ragworthollow_daemon.gateway.instances_follower import InstancesFollower
 from ragworthollow_daemon.gateway.piece_service import PieceService
 from tests.fixtures.gateways import make_settings
@@ -76,7 +76,7 @@
     follower = InstancesFollower(
         context=SimpleNamespace(
             directory=directory,
-            book=book or LoadBook(),
+            book=book or LoadTracker(),
             throttle=make_throttle(),
             settings=make_settings(),
             table=None,
@@ -163,11 +163,11 @@
     'with {running:d} requests of ours running',
 )
 def make_failed(context, failures, running):
-    context.book = LoadBook()
+    context.book = LoadTracker()
     context.follower, _ = _make_follower(context.book)
     context.follower.take_instances([_make_instance(1000)], 0)
     for _ in range(failures):
-        context.book.note_failure('i1', 0)
+        context.book.record_failure('i1', 0)
     context.record = context.book.get('i1')
     context.record.in_flight += running
 
@@ -230,7 +230,7 @@
         return Ok(
             tuple(
                 PieceResult(outcome=PieceOutcome.done, handle=f'h{number}')
-                for number in range(len(call.waiting))
+                for number in range(len(call.pieces))
             ),
         )
 
@@ -238,12 +238,12 @@
     _list_stage_instance(stage, 1000)
     gate = context.service.get_gates().get('stage')
     for number in range(3):
-        gate.room.keep(
-            KeptResult(
+        gate.result_space.add(
+            StoredResult(
                 handle=f'old{number}',
                 instance='i1',
                 result_bytes=1_000_000,
-                until_ms=_NEVER_MS,
+                expires_ms=_NEVER_MS,
             ),
         )
     context.running = stage.loop.create_task(
@@ -276,5 +276,5 @@
 @then('its space is free')
 def check_space_free(context):
     gate = context.service.get_gates().get('stage')
-    kept = [one.handle for one in gate.room.take_all()]
+    kept = [one.handle for one in gate.result_space.pop_all()]
     assert kept == ['h0'], kept
--- a/tests/features/steps/lapsed_entries.py
+++ b/tests/features/steps/lapsed_entries.py
@@ -46,7 +46,7 @@
         self.left_ms.update(dict.fromkeys(change.left, now_ms))
 
     def note_lost(self, _detail) -> None:
-        self.directory.note_outage()
+        self.directory.record_outage()
 
 
 async def _play(context, away: range, befall) -> _Lister:
--- a/tests/features/steps/lost_calls.py
+++ b/tests/features/steps/lost_calls.py
@@ -11,7 +11,7 @@
 from ragworthollow.membership.gateway_members import GatewayMembers
 from ragworthollow.metrics import Metrics
 from ragworthollow.outcomes import Outcome, Reason
-from ragworthollow.pieces import KeptResult, PieceCall
+from ragworthollow.pieces import PieceCall, StoredResult
 from ragworthollow.transport.host_messages import HostState
 from ragworthollow.utils import use_monotonic
 from ragworthollow_daemon.gateway.asker_book import AskerBook
@@ -38,7 +38,7 @@
     context.loop = VirtualLoop()
     context.call = PieceCall(
         instance=make_instances(1)[0],
-        waiting=(),
+        pieces=(),
         started_ms=0,
         expected_ms=300,
     )
@@ -100,7 +100,7 @@
             ),
             directory=SimpleNamespace(get_pool=lambda _: pool.instances),
             get_budget=lambda _: SimpleNamespace(spend=lambda: True),
-            suspect=lambda one: pool.book.note_failure(one.instance, 0),
+            suspect=lambda one: pool.book.record_failure(one.instance, 0),
             quarantine=SimpleNamespace(get_left_ms=lambda _: 0),
         ),
         free=lambda *_: None,
@@ -137,7 +137,7 @@
 
 @then('its space counts {count:d} results more')
 def check_counted(context, count):
-    used = context.pool.gate.room.get_used(0)
+    used = context.pool.gate.result_space.get_used_bytes(0)
     assert used == {'i0': count * RESULT_BYTES}, used
 
 
@@ -148,16 +148,16 @@
     context.pool = PiecePool(1, 4)
     gate = context.pool.gate
     for number in range(count):
-        gate.room.keep(
-            KeptResult(
+        gate.result_space.add(
+            StoredResult(
                 handle=f'h{number}',
                 instance='i0',
                 result_bytes=RESULT_BYTES,
-                until_ms=FAR_MS,
-                asker='earlier',
+                expires_ms=FAR_MS,
+                requester='earlier',
             ),
         )
-    context.waiting = make_waiting(5000, asker='earlier')
+    context.waiting = make_waiting(5000, requester='earlier')
     gate.submit(context.waiting)
 
 
@@ -170,9 +170,9 @@
 def check_given_up(context):
     (gone,) = context.askers.take_gone(100)
     gate = context.pool.gate
-    assert gate.room.find_handles(gone) == ('h0', 'h1')
-    gate.drop_asker(gone)
-    assert not context.waiting.is_wanted
+    assert gate.result_space.find_handles(gone) == ('h0', 'h1')
+    gate.cancel_requester(gone)
+    assert not context.waiting.is_awaited
     assert not context.askers.take_gone(100)
 
 
@@ -191,11 +191,11 @@
         context.held.add(
             'p',
             [
-                KeptResult(
+                StoredResult(
                     handle=handle,
                     instance='i0',
                     result_bytes=1,
-                    until_ms=FAR_MS,
+                    expires_ms=FAR_MS,
                 ),
             ],
         )
@@ -237,9 +237,9 @@
 def check_own(context):
     assert len(context.calls) == 2
     for call in context.calls:
-        domains = {one.piece.failure_domain for one in call.waiting}
+        domains = {one.piece.failure_domain for one in call.pieces}
         assert domains == {call.instance.failure_domain}, domains
-        assert len(call.waiting) == 4
+        assert len(call.pieces) == 4
 
 
 @when('the near instance is busy and a piece for it is due at once')
@@ -258,7 +258,7 @@
 @then('the other instance makes it first')
 def check_urgent(context):
     assert context.call.instance.failure_domain == 'one'
-    assert context.call.waiting[0].piece.failure_domain == 'two'
+    assert context.call.pieces[0].piece.failure_domain == 'two'
 
 
 @given('members of which the first in rank for a pool answers')
--- a/tests/features/steps/overload.py
+++ b/tests/features/steps/overload.py
@@ -13,18 +13,18 @@
 )
 from measure.fleet_model.load_sheet import StagePoolSheet
 from measure.fleet_model.outcome import RequestRecord, sum_attained
-from ragworthollow.exchange import RequestTerms, UsualLimits
+from ragworthollow.exchange import RequestParameters, TypicalTimeLimits
 from ragworthollow.pieces import AnnouncedWork, PeerAnnouncements
 from ragworthollow.routes import (
-    PoolShare,
     RequestLimits,
     Route,
     RouteKind,
     RouteTable,
-    StageStep,
+    StageDefinition,
     UpstreamPool,
+    WeightedPool,
 )
-from ragworthollow.upstreams import AnswerTime
+from ragworthollow.upstreams import FirstEventLatency
 from ragworthollow.utils import get_monotonic_ms
 from ragworthollow_daemon.gateway.request_job import RequestJob
 from ragworthollow_daemon.gateway.stage_way import StageWay
@@ -41,11 +41,11 @@
 _NO_MARGIN = (Setting(name='ADMISSION_MARGIN', value=-0.05),)
 
 
-def _note_answers(count: int) -> AnswerTime:
-    answer_time = AnswerTime()
+def _note_answers(count: int) -> FirstEventLatency:
+    answer_time = FirstEventLatency()
     for number in range(count):
         tokens = 500 + 400 * (number % 20)
-        answer_time.note(tokens, 20 + 0.03 * tokens)
+        answer_time.record(tokens, 20 + 0.03 * tokens)
     return answer_time
 
 
@@ -72,15 +72,15 @@
 
 @given('a route whose callers come with {limit_ms:d} ms')
 def learn_limit(context, limit_ms):
-    context.limits = UsualLimits()
+    context.limits = TypicalTimeLimits()
     for number in range(25):
-        context.limits.note(_ROUTE, limit_ms - number % 9)
+        context.limits.record(_ROUTE, limit_ms - number % 9)
 
 
 @when('one comes with {first_ms:d} ms and one with {second_ms:d} ms')
 def come_back(context, first_ms, second_ms):
     context.waited_ms = [
-        context.limits.note(_ROUTE, limit_ms)
+        context.limits.record(_ROUTE, limit_ms)
         for limit_ms in (first_ms, second_ms)
     ]
 
@@ -96,7 +96,7 @@
 @when('all callers come with {limit_ms:d} ms from then on')
 def change_limit(context, limit_ms):
     context.waited_ms = [
-        context.limits.note(_ROUTE, limit_ms) for _ in range(25)
+        context.limits.record(_ROUTE, limit_ms) for _ in range(25)
     ]
 
 
@@ -105,9 +105,9 @@
     context.waited_ms = []
     for number in range(75):
         if number % 3:
-            context.limits.note(_ROUTE, 6000 - number % 9)
+            context.limits.record(_ROUTE, 6000 - number % 9)
         else:
-            waited_ms = context.limits.note(_ROUTE, limit_ms - number % 7)
+            waited_ms = context.limits.record(_ROUTE, limit_ms - number % 7)
             context.waited_ms.append(waited_ms)
 
 
@@ -143,7 +143,7 @@
 @when('a gateway announces {count:d} pieces and is silent for a second')
 def fall_silent(context, count):
     context.peers = PeerAnnouncements()
-    context.peers.note('g2', {'p': [count]}, 0)
+    context.peers.record('g2', {'p': [count]}, 0)
     assert context.peers.sum_counts('p', 1)[0] == count
 
 
@@ -175,10 +175,10 @@
         host='h',
         path_prefix='/',
         kind=RouteKind.stream,
-        shares=(PoolShare(pool='engines', weight=1),),
+        weighted_pools=(WeightedPool(pool='engines', weight=1),),
         stages=(
-            StageStep(pool='first'),
-            StageStep(pool='second', after=(0,)),
+            StageDefinition(pool='first'),
+            StageDefinition(pool='second', after=(0,)),
         ),
         timeout_ms=1000,
         objective_ms=1000,
@@ -187,7 +187,7 @@
     context.job = RequestJob(
         request=None,
         body=b'',
-        terms=RequestTerms(request_id='1', piece_counts=(1, 1)),
+        terms=RequestParameters(request_id='1', piece_counts=(1, 1)),
         route=route,
         holder=None,
         pool='engines',
--- a/tests/features/steps/piece_space.py
+++ b/tests/features/steps/piece_space.py
@@ -3,11 +3,11 @@
 from behave import given, then, when
 
 from ragworthollow.pieces import (
-    ForeignCall,
-    KeptResult,
+    RemoteCall,
     StageRun,
+    StoredResult,
 )
-from ragworthollow.pieces.nearness import choose_domain
+from ragworthollow.pieces.nearness import choose_local_domain
 from tests.fixtures.piece_pool import (
     FAR_MS,
     NOTHING,
@@ -19,12 +19,12 @@
 
 @given('another gate of the pool told of a call that counts for {left_ms:d} ms')
 def run_foreign(context, left_ms):
-    call = ForeignCall(
+    call = RemoteCall(
         instance='i0',
         result_bytes=RESULT_BYTES,
-        until_ms=left_ms,
+        expires_ms=left_ms,
     )
-    context.pool.gate.running.learn('other', [call])
+    context.pool.gate.running.record_remote_calls('other', [call])
 
 
 @then('no call is made at {early:d} ms and one at {late:d} ms')
@@ -38,20 +38,20 @@
 @when('a result is freed before the gate that had it made tells of it')
 def free_early(context):
     gate = context.pool.gate
-    assert not gate.room.free('h0', 0)
-    gate.room.keep(
-        KeptResult(
+    assert not gate.result_space.release('h0', 0)
+    gate.result_space.add(
+        StoredResult(
             handle='h0',
             instance='i0',
             result_bytes=RESULT_BYTES,
-            until_ms=FAR_MS,
+            expires_ms=FAR_MS,
         ),
     )
 
 
 @then('it takes no space in the account')
 def check_no_space(context):
-    assert not context.pool.gate.room.get_used(0)
+    assert not context.pool.gate.result_space.get_used_bytes(0)
 
 
 @when(
@@ -59,7 +59,9 @@
     'and {outputs:d} kB to hand to domain two',
 )
 def weigh(context, inputs, outputs):
-    context.domain = choose_domain({'one': inputs * 1e3, 'two': outputs * 1e3})
+    context.domain = choose_local_domain(
+        {'one': inputs * 1e3, 'two': outputs * 1e3}
+    )
 
 
 @then('its pieces are best made in domain {domain}')
@@ -113,7 +115,7 @@
 
 @then('the call carries the pieces of those of {first:d} and {last:d}')
 def check_whole(context, first, last):
-    carried = [one.piece.request_id for one in context.call.waiting]
+    carried = [one.piece.request_id for one in context.call.pieces]
     assert carried.count('r0') == first, carried
     assert carried.count('r2') == last, carried
     assert len(carried) == first + last, carried
@@ -123,7 +125,7 @@
 def check_limit(context, limit):
     (call,) = context.calls
     assert call.limit == limit, call.limit
-    assert call.left == context.pool.gate.get_depth()
+    assert call.remaining_pieces == context.pool.gate.get_depth()
 
 
 @when('1 piece for its own domain and 1 for another that is idle soon wait')
--- a/tests/features/steps/pieces.py
+++ b/tests/features/steps/pieces.py
@@ -6,9 +6,9 @@
 from hypothesis import strategies as st
 
 from ragworthollow.pieces import (
-    KeptResult,
     PieceOutcome,
     StageRun,
+    StoredResult,
 )
 from tests.fixtures.gate_model import GateModel
 from tests.fixtures.piece_pool import (
@@ -45,7 +45,7 @@
 @then('one call carries all {count:d} pieces')
 def check_shared(context, count):
     (call,) = context.calls
-    assert len(call.waiting) == count
+    assert len(call.pieces) == count
 
 
 @when('pieces due in {first:d}, {second:d} and {third:d} ms wait')
@@ -88,14 +88,14 @@
 
 @then('its last piece is in the next call')
 def check_begun(context):
-    dues = [one.piece.due_ms for one in context.call.waiting]
+    dues = [one.piece.due_ms for one in context.call.pieces]
     assert dues == [900, 100], dues
 
 
 @then('one call carries {count:d} pieces and {left:d} wait')
 def check_space(context, count, left):
     (call,) = context.calls
-    assert len(call.waiting) == count
+    assert len(call.pieces) == count
     assert context.pool.gate.get_depth() == left
 
 
@@ -104,20 +104,20 @@
     gate = context.pool.gate
     (call,) = context.calls
     gate.finish(call)
-    for number, waiting in enumerate(call.waiting):
-        gate.room.keep(
-            KeptResult(
+    for number, waiting in enumerate(call.pieces):
+        gate.result_space.add(
+            StoredResult(
                 handle=f'h{number}',
                 instance=call.instance.instance,
                 result_bytes=waiting.piece.result_bytes,
-                until_ms=FAR_MS,
+                expires_ms=FAR_MS,
             ),
         )
     assert not context.pool.plan()
-    assert gate.room.free('h0', 0) == 'i0'
-    assert not gate.room.free('h0', 0)
+    assert gate.result_space.release('h0', 0) == 'i0'
+    assert not gate.result_space.release('h0', 0)
     (call,) = context.pool.plan()
-    assert len(call.waiting) == 1
+    assert len(call.pieces) == 1
 
 
 @when('a piece for domain two waits while its instance will be idle in 50 ms')
@@ -142,7 +142,7 @@
     gate.submit(make_waiting(now_ms + short_ms, failure_domain='two'))
     (call,) = context.pool.plan(now_ms)
     assert call.instance.failure_domain == 'one'
-    assert call.waiting[0].piece.due_ms == now_ms + short_ms
+    assert call.pieces[0].piece.due_ms == now_ms + short_ms
 
 
 @when('pieces due in 700 ms keep arriving')
@@ -167,7 +167,7 @@
 def leave(context):
     waiting = make_waiting(500)
     context.pool.gate.submit(waiting)
-    waiting.is_wanted = False
+    waiting.is_awaited = False
 
 
 @then('no call is made')
--- a/tests/features/steps/slow_calls.py
+++ b/tests/features/steps/slow_calls.py
@@ -32,7 +32,7 @@
             ),
             get_budget=lambda _: SimpleNamespace(spend=lambda: True),
             quarantine=SimpleNamespace(get_left_ms=lambda _: 0),
-            suspect=lambda instance: context.pool.book.note_failure(
+            suspect=lambda instance: context.pool.book.record_failure(
                 instance.instance,
                 context.now_ms,
             ),
@@ -68,7 +68,7 @@
     if took_ms < call.expected_ms * (context.factor if is_slow else 1):
         return True
     context.pool.gate.finish(call)
-    found = tuple(_DONE for _ in call.waiting)
+    found = tuple(_DONE for _ in call.pieces)
     context.outcomes.note_results('p', context.pool.gate, call, found)
     return False
 
--- a/tests/features/steps/upstreams.py
+++ b/tests/features/steps/upstreams.py
@@ -12,17 +12,17 @@
 
 from ragworthollow.platform.configuration_wire import decode_configuration
 from ragworthollow.routes import (
-    PoolShare,
     RequestLimits,
     Route,
     RouteKind,
     RouteTable,
+    WeightedPool,
 )
 from ragworthollow.upstreams import (
     Directory,
-    LoadBook,
+    LoadTracker,
+    UpstreamCriteria,
     UpstreamInstance,
-    UpstreamWish,
     choose_upstream,
 )
 
@@ -71,7 +71,7 @@
 @given('the store could not be read before the next list')
 def be_away(context):
     context.directory = _make_directory()
-    context.directory.note_outage()
+    context.directory.record_outage()
 
 
 @when('lists at {first_ms:d} and {second_ms:d} show i1 no longer')
@@ -88,7 +88,7 @@
     for now_ms in range(first, last + 1, 600):
         listed = [_make_instance(0)]
         context.change = context.directory.replace(listed, now_ms)
-        context.directory.note_outage()
+        context.directory.record_outage()
 
 
 @when('lists come every {pace:d} from {first:d} on and i1 has left at {left:d}')
@@ -130,7 +130,7 @@
     return choose_upstream(
         instances,
         book,
-        UpstreamWish(affinity_key=key),
+        UpstreamCriteria(affinity_key=key),
         now_ms,
         random.Random(1),
     )
@@ -142,7 +142,7 @@
     context.readers = defaultdict(set)
     for number in range(count):
         key = f'prompt-{number % prompts}'
-        chosen = _choose(instances, LoadBook(), key)
+        chosen = _choose(instances, LoadTracker(), key)
         context.readers[key].add(chosen.instance)
 
 
@@ -157,7 +157,7 @@
 )
 def run_hot(context, count, many):
     instances = [_make_instance(number) for number in range(many)]
-    book = LoadBook()
+    book = LoadTracker()
     for _ in range(count):
         chosen = _choose(instances, book, 'hot')
         book.get(chosen.instance).in_flight += 1
@@ -171,9 +171,9 @@
 
 @when('i0 fails three times in a row')
 def fail_three(context):
-    context.book = LoadBook()
+    context.book = LoadTracker()
     for now_ms in (0, 500, 1500):
-        context.book.note_failure('i0', now_ms)
+        context.book.record_failure('i0', now_ms)
 
 
 @then('it gets nothing for 2 seconds and is used again after that')
@@ -186,9 +186,9 @@
 
 @when('all instances fail')
 def fail_all(context):
-    context.book = LoadBook()
+    context.book = LoadTracker()
     for number in range(2):
-        context.book.note_failure(f'i{number}', 0)
+        context.book.record_failure(f'i{number}', 0)
 
 
 @then('one of them is chosen all the same')
@@ -204,7 +204,7 @@
             host='h.example',
             path_prefix=prefix,
             kind=RouteKind.safe,
-            shares=(PoolShare(pool='p'),),
+            weighted_pools=(WeightedPool(pool='p'),),
             timeout_ms=1,
             objective_ms=1,
         )
