--- a/measure/fleet_model/pings.py
+++ b/measure/fleet_model/pings.py
@@ -35,9 +35,9 @@
     except TimeoutError:
         state = None
     if state is None:
-        gateway.members.note_silent(name)
+        gateway.members.mark_unresponsive(name)
     else:
-        gateway.members.note_answer(state)
+        gateway.members.record_response(state)
 
 
 async def _ask_state(
--- a/measure/policies.py
+++ b/measure/policies.py
@@ -6,11 +6,11 @@
 
 from result import Ok
 
-from ragworthollow.admission import AdmissionQueue, Share, Ticket
+from ragworthollow.admission import AdmissionQueue, CapacityShare, Ticket
 from ragworthollow.conf import global_settings
 from ragworthollow.retries import RetryBudget
-from ragworthollow.routing import PeerState, choose_peer, find_stragglers
-from ragworthollow.routing.choice import Wish
+from ragworthollow.routing import PeerState, choose_instance, find_stragglers
+from ragworthollow.routing.choice import SelectionCriteria
 from ragworthollow.transport import LoadReport
 
 
@@ -78,7 +78,7 @@
         *,
         capacity: int,
         service_ms: float,
-        shares: dict[str, Share],
+        shares: dict[str, CapacityShare],
     ) -> None:
         self._queue = AdmissionQueue(capacity=capacity, service_ms=service_ms)
         self._queue.shares = shares
@@ -96,18 +96,18 @@
         return self._queue.capacity
 
     def offer(self, ticket: Ticket, now_ms: float) -> tuple[bool, list]:
-        offered = self._queue.offer(ticket, now_ms)
+        offered = self._queue.enqueue(ticket, now_ms)
         if isinstance(offered, Ok):
             return True, list(offered.ok_value.evicted)
         return False, []
 
     def take(self, now_ms: float) -> tuple[list, list]:
-        turn = self._queue.take(now_ms)
+        turn = self._queue.dispatch(now_ms)
         return list(turn.started), list(turn.expired)
 
     def finish(self, ticket: Ticket, busy_ms: float, now_ms: float) -> None:
-        self._queue.finish(ticket, busy_ms, now_ms)
-        self._queue.observe_service(busy_ms)
+        self._queue.release(ticket, busy_ms, now_ms)
+        self._queue.record_service_time(busy_ms)
 
 
 @dataclass
@@ -142,13 +142,13 @@
             for slow in find_stragglers(self.peers):
                 slow.avoid_until_ms = now_ms + global_settings.EJECTION_MS
                 slow.samples = 0
-        wish = Wish(affinity_key=affinity, avoid=tried)
-        return choose_peer(self.peers, wish, now_ms, self.rng)
+        wish = SelectionCriteria(affinity_key=affinity, avoid=tried)
+        return choose_instance(self.peers, wish, now_ms, self.rng)
 
     def may_retry(self, attempts: int) -> bool:
         if attempts >= global_settings.MAX_ATTEMPTS:
             return False
-        return not self.policy.has_budget or self.budget.spend()
+        return not self.policy.has_budget or self.budget.withdraw()
 
 
 def make_report(queue, service_ms: float) -> LoadReport:
--- a/measure/quarantine_model/model.py
+++ b/measure/quarantine_model/model.py
@@ -9,7 +9,7 @@
 
 from measure.quarantine_model.scenario import Scenario
 from ragworthollow.conf import global_settings
-from ragworthollow.quarantine import CrashLedger, EvidenceExchange
+from ragworthollow.quarantine import CrashRegistry, EvidenceExchange
 
 _CRASH_AFTER_MS = 100
 _RUN_MS = (300, 3_000)
@@ -69,16 +69,16 @@
             _Engine(number=number) for number in range(scenario.engines)
         ]
         self._ledgers = [
-            CrashLedger(
+            CrashRegistry(
                 crash_limit=scenario.crash_limit or _NEVER,
-                term_ms=_TERM_MS,
+                quarantine_ms=_TERM_MS,
             )
             for _ in range(scenario.gateways)
         ]
         self._exchanges = [
             EvidenceExchange(
                 incarnation=str(number),
-                ledger=ledger,
+                registry=ledger,
                 on_quarantine=lambda _: None,
             )
             for number, ledger in enumerate(self._ledgers)
@@ -144,7 +144,7 @@
 
     def _begin(self, run: _Run) -> None:
         is_harmful = run.fingerprint.startswith(_HARMFUL)
-        if self._ledgers[run.gateway].get_left_ms(
+        if self._ledgers[run.gateway].get_remaining_ms(
             run.fingerprint,
             self._now_ms,
         ):
@@ -195,7 +195,7 @@
         engine.back_ms = self._now_ms + _DOWN_MS
         for run in ended:
             run.is_ended = True
-            self._ledgers[run.gateway].note_crash(
+            self._ledgers[run.gateway].record_crash(
                 run.fingerprint,
                 incarnation,
                 self._now_ms,
@@ -230,18 +230,18 @@
         """Have a gateway ask the one that hosts, which is the first."""
         if not gateway:
             return
-        question = self._exchanges[gateway].make_news('0', self._now_ms)
+        question = self._exchanges[gateway].make_update('0', self._now_ms)
 
         def answer() -> None:
             host = self._exchanges[0]
             if question is not None:
-                host.take_news(str(gateway), question, self._now_ms)
-            told = host.make_news(str(gateway), self._now_ms)
+                host.apply_update(str(gateway), question, self._now_ms)
+            told = host.make_update(str(gateway), self._now_ms)
             if told is None:
                 return
             self._at(
                 self._now_ms + _MESSAGE_MS,
-                lambda: self._exchanges[gateway].take_news(
+                lambda: self._exchanges[gateway].apply_update(
                     '0',
                     told,
                     self._now_ms,
--- a/measure/simulated_pool.py
+++ b/measure/simulated_pool.py
@@ -8,7 +8,7 @@
 
 from measure.policies import FifoQueue, OurQueue, Policy, Router, make_report
 from measure.scenarios import CAPACITY_PER_S, SPAN_MS, Scenario
-from ragworthollow.admission import Share, Ticket
+from ragworthollow.admission import CapacityShare, Ticket
 from ragworthollow.conf import global_settings
 from ragworthollow.platform import InstanceEntry
 from ragworthollow.routing import PeerState
@@ -20,10 +20,10 @@
 # Per stage: instances, slots and time of a call.
 STAGES = ((3, 8, 8.0), (6, 4, 100.0))
 SHARES = {
-    'a': Share(guarantee=0.4, weight=2),
-    'b': Share(guarantee=0.3, weight=1),
-    'c': Share(guarantee=0.2, weight=1),
-    'd': Share(guarantee=0.1, weight=1),
+    'a': CapacityShare(guarantee=0.4, weight=2),
+    'b': CapacityShare(guarantee=0.3, weight=1),
+    'c': CapacityShare(guarantee=0.2, weight=1),
+    'd': CapacityShare(guarantee=0.1, weight=1),
 }
 _ARRIVALS = {'a': 0.4, 'b': 0.3, 'c': 0.2, 'd': 0.1}
 _WORTHS = (1, 1, 2, 5)
@@ -177,7 +177,7 @@
     def _try(self, request: Request) -> None:
         router = self._routers[request.entry][request.stage]
         if not request.attempts:
-            router.budget.earn()
+            router.budget.deposit()
         peer = router.choose(
             frozenset(request.tried),
             request.organisation if request.stage else '',
--- a/measure/throttle_model/__main__.py
+++ b/measure/throttle_model/__main__.py
@@ -5,7 +5,7 @@
 from measure.throttle_model.model import Fleet, play
 from measure.throttle_model.pattern import PATTERNS
 from measure.throttle_model.policies import POLICIES
-from ragworthollow.throttling import RateLimits, derive_named_limits
+from ragworthollow.throttling import RateLimits, derive_advertised_limits
 
 _WARM_UP = RateLimits(requests_per_s=8, burst=17)
 _SIZES = (4, 21, 68, 300)
@@ -63,7 +63,7 @@
     pattern: str,
     gateways: int,
 ) -> Iterator[str]:
-    by_window = derive_named_limits(requests_per_s)
+    by_window = derive_advertised_limits(requests_per_s)
     windows = by_window.window_ms / _SECOND_MS
     by_second = RateLimits(
         requests_per_s=requests_per_s,
--- a/measure/throttle_model/policies.py
+++ b/measure/throttle_model/policies.py
@@ -8,10 +8,10 @@
 from ragworthollow.throttling import (
     Pacer,
     RateLimits,
+    SenderQuota,
     Senders,
-    SenderShare,
     Throttle,
-    derive_share,
+    derive_quota,
 )
 
 SETTLE_MS = 3_000
@@ -78,11 +78,11 @@
 
     def note_sent(self, instance: str, now_ms: float) -> None:
         """Count it."""
-        self._pacer.note(instance, (self._share,), now_ms)
+        self._pacer.record(instance, (self._share,), now_ms)
 
-    def _make_share(self, gateways: int) -> SenderShare:
+    def _make_share(self, gateways: int) -> SenderQuota:
         requests = max(1, math.floor(self._total / gateways))
-        return SenderShare(
+        return SenderQuota(
             senders=gateways,
             requests=requests,
             window_ms=(_SECOND_MS + global_settings.SENDING_MS)
@@ -98,7 +98,9 @@
 
     def __init__(self, gateway: str, limits: RateLimits) -> None:
         self._limits = limits
-        self._throttle = Throttle(gateway=gateway, settle_ms=self.settle_ms)
+        self._throttle = Throttle(
+            gateway=gateway, propagation_ms=self.settle_ms
+        )
 
     def set_members(self, members: Collection[str], now_ms: float) -> None:
         """Choose among all that are known."""
@@ -106,12 +108,12 @@
 
     def may_send(self, instance: str, now_ms: float) -> bool:
         """Keep to the share of those that are chosen."""
-        self._throttle.warm_ups.note(instance, _FAR_MS)
+        self._throttle.warm_ups.record(instance, _FAR_MS)
         return not self._throttle.get_wait_ms(instance, self._limits, now_ms)
 
     def note_sent(self, instance: str, now_ms: float) -> None:
         """Count it."""
-        self._throttle.note_sent(instance, self._limits, now_ms)
+        self._throttle.record_sent(instance, self._limits, now_ms)
 
 
 class RankedAtOnce(Ranked):
@@ -124,7 +126,7 @@
     """Wrong variant: fill a bucket, whose bursts meet at its edges."""
 
     def __init__(self, gateway: str, limits: RateLimits) -> None:
-        self._senders = Senders(gateway=gateway, settle_ms=SETTLE_MS)
+        self._senders = Senders(gateway=gateway, propagation_ms=SETTLE_MS)
         self._limits = limits
         self._sent: dict[tuple[str, int], int] = {}
 
@@ -134,7 +136,7 @@
 
     def may_send(self, instance: str, now_ms: float) -> bool:
         """Begin to count anew with each second."""
-        share = derive_share(self._limits, self._senders.count())
+        share = derive_quota(self._limits, self._senders.count())
         sent = self._sent.get((instance, int(now_ms // 1000)), 0)
         is_chosen = self._senders.is_chosen(instance, share.senders, now_ms)
         return is_chosen and sent < 2 * share.requests
--- a/packages/ragworthollow-ctl/src/ragworthollow_ctl/commands/release.py
+++ b/packages/ragworthollow-ctl/src/ragworthollow_ctl/commands/release.py
@@ -5,8 +5,8 @@
 
 from ragworthollow.quarantine.operator_messages import (
     RELEASE_PATH,
-    ReleaseAnswer,
-    ReleaseOrder,
+    ReleaseRequest,
+    ReleaseResponse,
 )
 from ragworthollow_ctl.gateway_client import ask_gateway
 
@@ -28,8 +28,8 @@
         ask_gateway(
             gateway,
             RELEASE_PATH,
-            ReleaseAnswer,
-            ReleaseOrder(fingerprint=fingerprint),
+            ReleaseResponse,
+            ReleaseRequest(fingerprint=fingerprint),
         ),
     )
     if not answer.is_released:
--- a/packages/ragworthollow-ctl/src/ragworthollow_ctl/commands/status.py
+++ b/packages/ragworthollow-ctl/src/ragworthollow_ctl/commands/status.py
@@ -4,7 +4,7 @@
 import sys
 
 from ragworthollow.configuration.snapshot import Snapshot
-from ragworthollow.membership.fleet_line import FleetLine
+from ragworthollow.membership.fleet_line import ProcessStatus
 from ragworthollow_ctl.service_client import make_client
 
 _BEHIND = 1
@@ -21,13 +21,13 @@
     """
     client = make_client(entry or ())
     newest = asyncio.run(client.get('snapshot', Snapshot)).manifest.generation
-    lines = asyncio.run(client.get('fleet', tuple[FleetLine, ...]))
+    lines = asyncio.run(client.get('fleet', tuple[ProcessStatus, ...]))
     sys.stdout.writelines(_render(line, newest) for line in lines)
     if any(line.generation != newest for line in lines):
         sys.exit(_BEHIND)
 
 
-def _render(line: FleetLine, newest: int) -> str:
+def _render(line: ProcessStatus, newest: int) -> str:
     known = '-' if line.generation is None else line.generation
     mark = '' if line.generation == newest else '  behind'
     return f'{line.instance}  {line.address}  {known}{mark}\n'
--- a/packages/ragworthollow-daemon/src/ragworthollow_daemon/entry/operator_routes.py
+++ b/packages/ragworthollow-daemon/src/ragworthollow_daemon/entry/operator_routes.py
@@ -15,7 +15,7 @@
 from ragworthollow.configuration.publisher import Publisher
 from ragworthollow.configuration.snapshot import Snapshot
 from ragworthollow.logs.events import log_event
-from ragworthollow.membership.fleet_line import FleetLine
+from ragworthollow.membership.fleet_line import ProcessStatus
 from ragworthollow.outcomes import Reason
 from ragworthollow.transport.responses import Problem, respond
 from ragworthollow.utils import get_wall_ms, hash_secret
@@ -164,8 +164,10 @@
                 error=type(error).__name__,
             )
 
-    async def _ask_generation(self, instance: str, address: str) -> FleetLine:
-        line = FleetLine(instance=instance, address=address)
+    async def _ask_generation(
+        self, instance: str, address: str
+    ) -> ProcessStatus:
+        line = ProcessStatus(instance=instance, address=address)
         try:
             async with self._context.session.get(
                 f'http://{address}/status',
@@ -174,7 +176,7 @@
                 body = await response.read()
         except (TimeoutError, ClientError, OSError):
             return line
-        known = msgspec.json.decode(body, type=FleetLine)
+        known = msgspec.json.decode(body, type=ProcessStatus)
         return msgspec.structs.replace(line, generation=known.generation)
 
 
--- a/packages/ragworthollow-daemon/src/ragworthollow_daemon/entry/pool_router.py
+++ b/packages/ragworthollow-daemon/src/ragworthollow_daemon/entry/pool_router.py
@@ -8,11 +8,11 @@
 from ragworthollow.retries import RetryBudget
 from ragworthollow.routing import (
     PeerState,
-    choose_peer,
+    choose_instance,
     choose_subset,
     find_stragglers,
 )
-from ragworthollow.routing.choice import Wish
+from ragworthollow.routing.choice import SelectionCriteria
 from ragworthollow.utils import get_monotonic_ms
 from ragworthollow_daemon.process_context import ProcessContext
 
@@ -54,7 +54,7 @@
         self,
         pool: str,
         model: str,
-        wish: Wish,
+        wish: SelectionCriteria,
     ) -> PeerState | None:
         """
         Choose the sidecar for one attempt.
@@ -63,7 +63,7 @@
         ----------
         pool, model : str
             Pool of the stage, and its model if it generates.
-        wish : Wish
+        wish : SelectionCriteria
             Affinity, and what to avoid.
 
         Returns
@@ -71,7 +71,7 @@
         PeerState or None
             None when nothing is left to try.
         """
-        return choose_peer(
+        return choose_instance(
             self._get_subset(pool, model),
             wish,
             get_monotonic_ms(),
--- a/packages/ragworthollow-daemon/src/ragworthollow_daemon/entry/stage_runner.py
+++ b/packages/ragworthollow-daemon/src/ragworthollow_daemon/entry/stage_runner.py
@@ -6,7 +6,7 @@
 from ragworthollow.configuration import StageKind
 from ragworthollow.outcomes import Outcome, Reason
 from ragworthollow.routing import PeerState
-from ragworthollow.routing.choice import Wish
+from ragworthollow.routing.choice import SelectionCriteria
 from ragworthollow.transport import StageAnswer, StageCall, StreamLine
 from ragworthollow.transport.stage_answer import refuse
 from ragworthollow.utils import get_monotonic_ms
@@ -71,7 +71,7 @@
             The answer that ended it.
         """
         pool = work.stage.pool
-        self._pools.get_budget(pool).earn()
+        self._pools.get_budget(pool).deposit()
         while True:
             answer = await self._try_once(work)
             if answer.outcome is Outcome.done:
@@ -116,14 +116,18 @@
             # Requests of one organisation and pipeline share their prompt's
             # prefix; rivals never do.
             affinity = f'{request.organisation}/{request.pipeline_name}'
-        wish = Wish(affinity_key=affinity, avoid=frozenset(work.tried))
+        wish = SelectionCriteria(
+            affinity_key=affinity, avoid=frozenset(work.tried)
+        )
         stage = work.stage
         peer = self._pools.choose(stage.pool, stage.model, wish)
         if peer is None and work.tried:
             # A small pool: each was tried, and one may have come back.
             work.tried.clear()
             await asyncio.sleep(global_settings.KEYED_RETRY_MS / _MILLISECONDS)
-            peer = self._pools.choose(stage.pool, stage.model, Wish())
+            peer = self._pools.choose(
+                stage.pool, stage.model, SelectionCriteria()
+            )
         return peer
 
     async def _hedge(self, work: StageWork, peer: PeerState) -> StageAnswer:
@@ -156,11 +160,11 @@
         peer = self._pools.choose(
             work.stage.pool,
             work.stage.model,
-            Wish(avoid=frozenset(work.tried)),
+            SelectionCriteria(avoid=frozenset(work.tried)),
         )
         if peer is None:
             return None
-        if not self._pools.get_budget(work.stage.pool).spend():
+        if not self._pools.get_budget(work.stage.pool).withdraw():
             return None
         self._context.metrics.count_retry(work.stage.name, 'hedge')
         return asyncio.ensure_future(self._attempt(work, peer))
@@ -245,7 +249,7 @@
             return False
         if work.attempts >= global_settings.MAX_ATTEMPTS:
             return False
-        return self._pools.get_budget(work.stage.pool).spend()
+        return self._pools.get_budget(work.stage.pool).withdraw()
 
     def _get_timeout_ms(self, work: StageWork) -> float:
         remaining_ms = work.request.get_remaining_ms()
--- a/packages/ragworthollow-daemon/src/ragworthollow_daemon/gateway/answer_notices.py
+++ b/packages/ragworthollow-daemon/src/ragworthollow_daemon/gateway/answer_notices.py
@@ -49,7 +49,7 @@
     if metadata.is_leaving:
         _record_leaving(context, instance, now_ms)
     if metadata.warm_up_remaining_ms:
-        context.throttle.warm_ups.note(
+        context.throttle.warm_ups.record(
             instance.get_incarnation(),
             now_ms + metadata.warm_up_remaining_ms,
         )
--- a/packages/ragworthollow-daemon/src/ragworthollow_daemon/gateway/attempt_series.py
+++ b/packages/ragworthollow-daemon/src/ragworthollow_daemon/gateway/attempt_series.py
@@ -114,7 +114,7 @@
             return Err(self._explain_no_instance())
         if (
             self._sent_attempts
-            and not context.get_budget(self.job.pool).spend()
+            and not context.get_budget(self.job.pool).withdraw()
         ):
             context.metrics.count_retry(self.job.pool, 'budget_spent')
             return Err(self._last_failure)
--- a/packages/ragworthollow-daemon/src/ragworthollow_daemon/gateway/call_outcomes.py
+++ b/packages/ragworthollow-daemon/src/ragworthollow_daemon/gateway/call_outcomes.py
@@ -157,7 +157,7 @@
         for waiting in call.pieces:
             if not waiting.is_awaited or not self._may_retry(waiting):
                 continue
-            if self._context.get_budget(pool).spend():
+            if self._context.get_budget(pool).withdraw():
                 self._context.metrics.count_retry(pool, 'slow_piece')
                 call.hedged.add(waiting)
                 scheduler.resubmit(
@@ -203,7 +203,7 @@
     ) -> None:
         """Queue a piece again if its attempts and the retry budget allow it."""
         may_retry = self._may_retry(waiting)
-        if may_retry and self._context.get_budget(pool).spend():
+        if may_retry and self._context.get_budget(pool).withdraw():
             self._context.metrics.count_retry(pool, 'piece')
             scheduler.resubmit(
                 waiting,
--- a/packages/ragworthollow-daemon/src/ragworthollow_daemon/gateway/context.py
+++ b/packages/ragworthollow-daemon/src/ragworthollow_daemon/gateway/context.py
@@ -73,7 +73,7 @@
         self.book = LoadTracker()
         self._throttle = Throttle(
             gateway=settings.instance,
-            settle_ms=settings.get_shortest_bound_ms(),
+            propagation_ms=settings.get_shortest_bound_ms(),
         )
         self._quarantine = Quarantine(
             settings=settings,
--- a/packages/ragworthollow-daemon/src/ragworthollow_daemon/gateway/forwarder.py
+++ b/packages/ragworthollow-daemon/src/ragworthollow_daemon/gateway/forwarder.py
@@ -79,7 +79,7 @@
             The response, either finished or ready to be sent, or why there is
             none.
         """
-        self._context.get_budget(job.pool).earn()
+        self._context.get_budget(job.pool).deposit()
         series = AttemptSeries(context=self._context, job=job, inputs=inputs)
         if job.route.is_stream():
             return await self._relay(series, on_inputs_read, progress)
--- a/packages/ragworthollow-daemon/src/ragworthollow_daemon/gateway/host_pings.py
+++ b/packages/ragworthollow-daemon/src/ragworthollow_daemon/gateway/host_pings.py
@@ -86,7 +86,7 @@
             return []
         pools = [pool.name for pool in table.pools.values() if pool.pieces]
         self._members.set_pools(pools)
-        return self._members.choose_asked()
+        return self._members.choose_ping_targets()
 
     async def _ping(self, host: GatewayMember) -> None:
         ping = GatewayPing(
@@ -149,16 +149,16 @@
         if not state.can_host:
             self._mark_unresponsive(host, 'knows no upstream instances')
             return
-        if self._members.is_silent(host.instance):
+        if self._members.is_unresponsive(host.instance):
             log_event('peer_regained', step=_STEP, peer=host.instance)
-        self._members.note_answer(state)
+        self._members.record_response(state)
 
     def _mark_unresponsive(self, host: GatewayMember, detail: str) -> None:
-        if not self._members.is_silent(host.instance):
+        if not self._members.is_unresponsive(host.instance):
             log_event(
                 'peer_lost',
                 step=_STEP,
                 peer=host.instance,
                 error=detail,
             )
-        self._members.note_silent(host.instance)
+        self._members.mark_unresponsive(host.instance)
--- a/packages/ragworthollow-daemon/src/ragworthollow_daemon/gateway/instances_follower.py
+++ b/packages/ragworthollow-daemon/src/ragworthollow_daemon/gateway/instances_follower.py
@@ -141,7 +141,7 @@
                 continue
             pool = table.pools.get(instance.pool)
             if pool is not None and pool.warm_up_ms:
-                self._context.throttle.warm_ups.note(
+                self._context.throttle.warm_ups.record(
                     instance.get_incarnation(),
                     now_ms + pool.warm_up_ms,
                 )
@@ -176,7 +176,7 @@
 
     def _record_warm_up(self, instance: UpstreamInstance | None) -> None:
         if instance is not None:
-            self._context.throttle.warm_ups.note_entry(
+            self._context.throttle.warm_ups.record_entry(
                 instance.get_incarnation(),
                 get_monotonic_ms() + instance.warm_up_remaining_ms,
             )
--- a/packages/ragworthollow-daemon/src/ragworthollow_daemon/gateway/instances_view.py
+++ b/packages/ragworthollow-daemon/src/ragworthollow_daemon/gateway/instances_view.py
@@ -48,7 +48,7 @@
     for pool in pools:
         throttle = PoolThrottle(context=context, pool=pool)
         for instance in context.directory.get_pool(pool):
-            remaining_ms = context.throttle.warm_ups.get_left_ms(
+            remaining_ms = context.throttle.warm_ups.get_remaining_ms(
                 instance.get_incarnation(),
                 now_ms,
             )
@@ -64,18 +64,18 @@
 
 def _describe_limited(context: GatewayContext) -> Iterator[LimitedInstance]:
     now_ms = get_boottime_ms()
-    limits = context.throttle.named_limits
+    limits = context.throttle.advertised_limits
     pools = {} if context.table is None else context.table.pools
     for pool in pools:
         throttle = PoolThrottle(context=context, pool=pool)
         for instance in context.directory.get_pool(pool):
             limit = limits.find(instance.get_incarnation(), now_ms)
             if limit is not None:
-                remaining_ms = limits.get_left_ms(limit, now_ms)
+                remaining_ms = limits.get_remaining_ms(limit, now_ms)
                 yield LimitedInstance(
                     instance=instance.instance,
                     pool=pool,
                     requests_per_s=limit.requests_per_s,
-                    named_age_ms=now_ms - limit.heard_ms,
+                    named_age_ms=now_ms - limit.received_ms,
                     is_sender=throttle.get_wait_ms(instance) < remaining_ms,
                 )
--- a/packages/ragworthollow-daemon/src/ragworthollow_daemon/gateway/limit_notices.py
+++ b/packages/ragworthollow-daemon/src/ragworthollow_daemon/gateway/limit_notices.py
@@ -6,10 +6,10 @@
 from ragworthollow.logs.events import log_event
 from ragworthollow.throttling import (
     UNLIMITED_PER_S,
-    LimitNews,
-    NamedLimit,
-    make_limit_news,
-    read_limit_news,
+    AdvertisedLimit,
+    LimitUpdate,
+    make_limit_update,
+    read_limit_update,
 )
 from ragworthollow.upstreams import UpstreamInstance
 from ragworthollow.utils import get_boottime_ms
@@ -50,27 +50,27 @@
         if metadata.unreadable_limit or not is_authentic:
             return
         limit_per_s = UNLIMITED_PER_S
-    advertised = NamedLimit(
+    advertised = AdvertisedLimit(
         requests_per_s=limit_per_s,
-        asked_ms=sent_ms,
-        heard_ms=get_boottime_ms(),
+        sent_ms=sent_ms,
+        received_ms=get_boottime_ms(),
     )
     _record_advertised(context, instance, advertised)
 
 
-def tell_limits(context: GatewayContext) -> dict[str, LimitNews]:
+def tell_limits(context: GatewayContext) -> dict[str, LimitUpdate]:
     """Return the limit updates to send to another gateway now."""
     now_ms = get_boottime_ms()
-    chosen = context.throttle.named_limits.choose_told(now_ms)
+    chosen = context.throttle.advertised_limits.choose_to_send(now_ms)
     return {
-        incarnation: make_limit_news(advertised, now_ms)
+        incarnation: make_limit_update(advertised, now_ms)
         for incarnation, advertised in chosen.items()
     }
 
 
 def hear_limits(
     context: GatewayContext,
-    updates: Mapping[str, LimitNews],
+    updates: Mapping[str, LimitUpdate],
     sent_after_ms: float,
 ) -> None:
     """
@@ -80,7 +80,7 @@
     ----------
     context : GatewayContext
         State of this gateway.
-    updates : mapping of str to LimitNews
+    updates : mapping of str to LimitUpdate
         The updates, by incarnation.
     sent_after_ms : float
         Time before which they were not sent, on CLOCK_BOOTTIME, which
@@ -88,12 +88,14 @@
     """
     now_ms = get_boottime_ms()
     for incarnation, update in updates.items():
-        advertised = read_limit_news(
+        advertised = read_limit_update(
             update,
             sent_after_ms=sent_after_ms,
             now_ms=now_ms,
         )
-        if context.throttle.named_limits.note_heard(incarnation, advertised):
+        if context.throttle.advertised_limits.record_received(
+            incarnation, advertised
+        ):
             context.metrics.count_event('instance_limit_heard')
             log_event(
                 'instance_limit_heard',
@@ -107,10 +109,10 @@
 def _record_advertised(
     context: GatewayContext,
     instance: UpstreamInstance,
-    advertised: NamedLimit,
+    advertised: AdvertisedLimit,
 ) -> None:
-    limits = context.throttle.named_limits
-    if not limits.note(instance.get_incarnation(), advertised):
+    limits = context.throttle.advertised_limits
+    if not limits.record(instance.get_incarnation(), advertised):
         return
     context.metrics.count_event('instance_named_limit')
     log_event(
@@ -122,7 +124,7 @@
         limit_per_s=advertised.requests_per_s
         if advertised.is_limit()
         else None,
-        answer_ms=round(advertised.heard_ms - advertised.asked_ms),
+        answer_ms=round(advertised.received_ms - advertised.sent_ms),
     )
 
 
--- a/packages/ragworthollow-daemon/src/ragworthollow_daemon/gateway/peer_routes.py
+++ b/packages/ragworthollow-daemon/src/ragworthollow_daemon/gateway/peer_routes.py
@@ -157,7 +157,7 @@
         except msgspec.DecodeError as error:
             return respond(Problem(error=str(error)), status=_BAD_REQUEST)
         now_ms = get_monotonic_ms()
-        self._members.learn(change, now_ms)
+        self._members.apply_change(change, now_ms)
         self._context.set_members(self._members.get_members(), now_ms)
         log_event(
             'member_announced',
--- a/packages/ragworthollow-daemon/src/ragworthollow_daemon/gateway/piece_client.py
+++ b/packages/ragworthollow-daemon/src/ragworthollow_daemon/gateway/piece_client.py
@@ -180,7 +180,7 @@
                     {request},
                     timeout=global_settings.GATE_TICK_MS / 1000,
                 )
-                if self._members.is_silent(host.instance):
+                if self._members.is_unresponsive(host.instance):
                     break
         finally:
             request.cancel()
@@ -203,7 +203,7 @@
     ) -> PieceResults | None:
         if not isinstance(response, Err):
             return response.ok_value
-        self._members.note_silent(host.instance)
+        self._members.mark_unresponsive(host.instance)
         log_event(
             'peer_lost',
             step=_STEP,
--- a/packages/ragworthollow-daemon/src/ragworthollow_daemon/gateway/piece_service.py
+++ b/packages/ragworthollow-daemon/src/ragworthollow_daemon/gateway/piece_service.py
@@ -85,7 +85,7 @@
         refused = self._schedulers.refuse(pool, pieces)
         if refused is not None:
             return refused
-        self._context.get_budget(pool).earn()
+        self._context.get_budget(pool).deposit()
         loop = asyncio.get_running_loop()
         scheduler = self._schedulers.get(pool)
         stage_run = StageRun()
--- a/packages/ragworthollow-daemon/src/ragworthollow_daemon/gateway/pool_throttle.py
+++ b/packages/ragworthollow-daemon/src/ragworthollow_daemon/gateway/pool_throttle.py
@@ -139,7 +139,7 @@
     def note_sent(self, instance: UpstreamInstance) -> None:
         """Record that a request is sent to an instance now."""
         if self._context.throttle.is_needed():
-            self._context.throttle.note_sent(
+            self._context.throttle.record_sent(
                 instance.get_incarnation(),
                 self._warm_up_limits,
                 get_monotonic_ms(),
@@ -154,7 +154,7 @@
                 yield instance
 
     def _has_advertised_limit(self, instance: UpstreamInstance) -> bool:
-        advertised = self._context.throttle.named_limits.find(
+        advertised = self._context.throttle.advertised_limits.find(
             instance.get_incarnation(),
             get_monotonic_ms(),
         )
--- a/packages/ragworthollow-daemon/src/ragworthollow_daemon/gateway/quarantine.py
+++ b/packages/ragworthollow-daemon/src/ragworthollow_daemon/gateway/quarantine.py
@@ -9,11 +9,11 @@
 from ragworthollow.logs.events import log_event
 from ragworthollow.metrics import Metrics
 from ragworthollow.quarantine import (
-    CrashLedger,
+    CrashRecord,
+    CrashRegistry,
     CrashReport,
     EvidenceExchange,
-    EvidenceNews,
-    Suspect,
+    EvidenceUpdate,
     make_report,
 )
 from ragworthollow.quarantine.operator_messages import QuarantinedRequest
@@ -57,13 +57,13 @@
         spawn: Spawn,
     ) -> None:
         self._metrics = metrics
-        self._registry = CrashLedger(
+        self._registry = CrashRegistry(
             crash_limit=settings.quarantine_crashes,
-            term_ms=settings.quarantine_ms,
+            quarantine_ms=settings.quarantine_ms,
         )
         self._exchange = EvidenceExchange(
             incarnation=incarnation,
-            ledger=self._registry,
+            registry=self._registry,
             on_quarantine=self._record_quarantine,
         )
         self._crash_detector = CrashWatch(
@@ -80,7 +80,7 @@
 
     def get_left_ms(self, fingerprint: str) -> float:
         """Return how long a request stays quarantined; 0 if it is not."""
-        return self._registry.get_left_ms(fingerprint, get_boottime_ms())
+        return self._registry.get_remaining_ms(fingerprint, get_boottime_ms())
 
     def list_quarantined(self) -> list[QuarantinedRequest]:
         """Return the requests that are quarantined."""
@@ -122,22 +122,22 @@
         self.has_urgent_news.set()
         return self._clear(fingerprint, 'request_released')
 
-    def make_news(self, peer: str) -> EvidenceNews | None:
+    def make_news(self, peer: str) -> EvidenceUpdate | None:
         """Make the update another gateway has yet to receive, or None."""
-        return self._exchange.make_news(peer, get_boottime_ms())
+        return self._exchange.make_update(peer, get_boottime_ms())
 
-    def take_news(self, peer: str, update: EvidenceNews | None) -> None:
+    def take_news(self, peer: str, update: EvidenceUpdate | None) -> None:
         """Apply the update of another gateway, if there is one."""
         if update is not None:
-            self._exchange.take_news(peer, update, get_boottime_ms())
+            self._exchange.apply_update(peer, update, get_boottime_ms())
 
     def apply_report(self, report: CrashReport) -> None:
         """Apply the evidence that the store holds against a request."""
-        self._exchange.take_report(report, get_boottime_ms())
+        self._exchange.apply_report(report, get_boottime_ms())
 
     def encode_record(self, fingerprint: str) -> str:
         """Encode the evidence against a request for the store."""
-        crash_record = self._registry.get_suspect(fingerprint) or Suspect()
+        crash_record = self._registry.get_record(fingerprint) or CrashRecord()
         report = make_report(fingerprint, crash_record, get_boottime_ms())
         return msgspec.json.encode(report).decode()
 
@@ -149,7 +149,7 @@
         now_ms = get_boottime_ms()
         self.has_urgent_news.set()
         for fingerprint in running:
-            if self._registry.note_crash(fingerprint, incarnation, now_ms):
+            if self._registry.record_crash(fingerprint, incarnation, now_ms):
                 self._record_quarantine(fingerprint)
                 self.changed_decisions.put_nowait(fingerprint)
 
@@ -164,7 +164,7 @@
         return has_evidence
 
     def _list_crashes(self, fingerprint: str) -> tuple[str, ...]:
-        crash_record = self._registry.get_suspect(fingerprint)
+        crash_record = self._registry.get_record(fingerprint)
         return (
             () if crash_record is None else tuple(sorted(crash_record.crashes))
         )
--- a/packages/ragworthollow-daemon/src/ragworthollow_daemon/gateway/status_routes.py
+++ b/packages/ragworthollow-daemon/src/ragworthollow_daemon/gateway/status_routes.py
@@ -6,8 +6,8 @@
 from ragworthollow.quarantine.operator_messages import (
     QUARANTINE_PATH,
     RELEASE_PATH,
-    ReleaseAnswer,
-    ReleaseOrder,
+    ReleaseRequest,
+    ReleaseResponse,
 )
 from ragworthollow.transport.responses import Problem, respond
 from ragworthollow.upstreams.operator_messages import INSTANCES_PATH
@@ -154,11 +154,11 @@
         """Release a request from quarantine on all gateways."""
         body = await request.read()
         try:
-            order = msgspec.json.decode(body, type=ReleaseOrder)
+            order = msgspec.json.decode(body, type=ReleaseRequest)
         except msgspec.DecodeError as error:
             return respond(Problem(error=str(error)), status=_BAD_REQUEST)
         is_released = self._context.quarantine.release(order.fingerprint)
-        return respond(ReleaseAnswer(is_released=is_released))
+        return respond(ReleaseResponse(is_released=is_released))
 
     def _list_instances(self, pool: str) -> list[str]:
         instances = self._context.directory.get_pool(pool)
--- a/packages/ragworthollow-daemon/src/ragworthollow_daemon/gateway/store_poller_factory.py
+++ b/packages/ragworthollow-daemon/src/ragworthollow_daemon/gateway/store_poller_factory.py
@@ -40,7 +40,7 @@
             bound_ms=settings.get_shortest_bound_ms(),
             heartbeat_ms=settings.instance_heartbeat_ms,
         ),
-        get_place=members.get_reader_place,
+        get_place=members.get_reader_rank,
         ask_peers=update_client.request_updates,
         spread=context.rng.uniform(0, global_settings.TRUST_SPREAD),
     )
--- a/packages/ragworthollow-daemon/src/ragworthollow_daemon/gateway/update_client.py
+++ b/packages/ragworthollow-daemon/src/ragworthollow_daemon/gateway/update_client.py
@@ -72,7 +72,7 @@
             member
             for member in self._members.get_members().values()
             if member.instance != self._context.settings.instance
-            and not self._members.is_silent(member.instance)
+            and not self._members.is_unresponsive(member.instance)
         ]
         count = min(len(peers), global_settings.NEWS_PEERS_ASKED)
         return self._context.rng.sample(peers, count)
--- a/packages/ragworthollow-daemon/src/ragworthollow_daemon/process_context.py
+++ b/packages/ragworthollow-daemon/src/ragworthollow_daemon/process_context.py
@@ -9,7 +9,7 @@
 from ragworthollow.configuration.follower import Follower
 from ragworthollow.configuration.store import ConfigurationStore
 from ragworthollow.logs.events import log_error
-from ragworthollow.membership import Peers
+from ragworthollow.membership import PeerDirectory
 from ragworthollow.metrics import InvariantMonitor, Metrics
 from ragworthollow.platform import InstanceList, InstancePoller, StoreClient
 from ragworthollow.transport.session import make_plain_session, make_session
@@ -39,7 +39,7 @@
         self.session = make_session(settings.cluster_key)
         self.plain_session = make_plain_session()
         self.store = ConfigurationStore(instance=settings.instance)
-        self.peers = Peers(
+        self.peers = PeerDirectory(
             instance=settings.instance,
             failure_domain=settings.failure_domain,
             rng=self.rng,
--- a/packages/ragworthollow-daemon/src/ragworthollow_daemon/sidecar/slot_queue.py
+++ b/packages/ragworthollow-daemon/src/ragworthollow_daemon/sidecar/slot_queue.py
@@ -66,7 +66,7 @@
             the refused call has provably not run.
         """
         now_ms = get_monotonic_ms()
-        offered = self.queue.offer(ticket, now_ms)
+        offered = self.queue.enqueue(ticket, now_ms)
         if isinstance(offered, Err):
             rejection = offered.err_value
             return Err(
@@ -82,7 +82,9 @@
         self.pump()
         # The moment at which it can no longer finish in time.
         slack_ms = (
-            ticket.deadline_ms - self.queue.get_safe_service_ms() - now_ms
+            ticket.deadline_ms
+            - self.queue.get_conservative_service_ms()
+            - now_ms
         )
         timer = asyncio.get_running_loop().call_later(
             (slack_ms + 1) / _MILLISECONDS,
@@ -110,14 +112,14 @@
             Whether it ended with a whole result; others teach nothing about
             the time that a call takes.
         """
-        self.queue.finish(ticket, busy_ms, get_monotonic_ms())
+        self.queue.release(ticket, busy_ms, get_monotonic_ms())
         if is_done:
-            self.queue.observe_service(busy_ms)
+            self.queue.record_service_time(busy_ms)
         self.pump()
 
     def pump(self) -> None:
         """Start what can start and refuse what has become too late."""
-        turn = self.queue.take(get_monotonic_ms())
+        turn = self.queue.dispatch(get_monotonic_ms())
         for expired in turn.expired:
             self._refuse(expired, Reason.deadline_exceeded)
         for started in turn.started:
@@ -145,7 +147,7 @@
         is_granted = future.done() and not future.cancelled()
         if is_granted and future.result().is_ok():
             self.release(ticket, 0, is_done=False)
-        elif not is_granted and not self.queue.withdraw(ticket):
+        elif not is_granted and not self.queue.cancel(ticket):
             # The grant and the cancellation met in one turn of the loop.
             self.release(ticket, 0, is_done=False)
 
--- a/packages/ragworthollow/src/ragworthollow/admission/__init__.py
+++ b/packages/ragworthollow/src/ragworthollow/admission/__init__.py
@@ -1,16 +1,20 @@
 """Admission control: decide which calls run, wait or are rejected."""
 
-from ragworthollow.admission.decisions import Offer, Rejection, Turn
+from ragworthollow.admission.decisions import (
+    Acceptance,
+    DispatchResult,
+    Rejection,
+)
 from ragworthollow.admission.queue import AdmissionQueue
-from ragworthollow.admission.share import Share, get_shares
+from ragworthollow.admission.share import CapacityShare, get_shares
 from ragworthollow.admission.ticket import Ticket
 
 __all__ = (
+    'Acceptance',
     'AdmissionQueue',
-    'Offer',
+    'CapacityShare',
+    'DispatchResult',
     'Rejection',
-    'Share',
     'Ticket',
-    'Turn',
     'get_shares',
 )
--- a/packages/ragworthollow/src/ragworthollow/admission/decisions.py
+++ b/packages/ragworthollow/src/ragworthollow/admission/decisions.py
@@ -7,7 +7,7 @@
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
-class Offer:
+class Acceptance:
     """
     Report that a ticket was accepted into the queue.
 
@@ -39,7 +39,7 @@
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
-class Turn:
+class DispatchResult:
     """
     List the tickets that leave the queue in one round of dispatching.
 
--- a/packages/ragworthollow/src/ragworthollow/admission/order.py
+++ b/packages/ragworthollow/src/ragworthollow/admission/order.py
@@ -3,7 +3,7 @@
 from collections.abc import Iterable
 from dataclasses import dataclass
 
-from ragworthollow.admission.share import Share
+from ragworthollow.admission.share import CapacityShare
 from ragworthollow.admission.usage import DECAY_TIME_MS
 
 
@@ -16,7 +16,7 @@
     ----------
     organisation : str
         Name of the organisation.
-    share : Share
+    share : CapacityShare
         Capacity that it may use.
     running : int
         Number of slots it holds now.
@@ -25,7 +25,7 @@
     """
 
     organisation: str
-    share: Share
+    share: CapacityShare
     running: int
     used_ms: float
 
--- a/packages/ragworthollow/src/ragworthollow/admission/queue.py
+++ b/packages/ragworthollow/src/ragworthollow/admission/queue.py
@@ -4,7 +4,11 @@
 
 from result import Err, Ok, Result
 
-from ragworthollow.admission.decisions import Offer, Rejection, Turn
+from ragworthollow.admission.decisions import (
+    Acceptance,
+    DispatchResult,
+    Rejection,
+)
 from ragworthollow.admission.estimate import Backlog, estimate_wait_ms
 from ragworthollow.admission.order import (
     Contender,
@@ -14,7 +18,7 @@
 from ragworthollow.admission.organisation_queues import OrganisationQueues
 from ragworthollow.admission.share import (
     DEFAULT_SHARE,
-    Share,
+    CapacityShare,
     get_fair_share,
 )
 from ragworthollow.admission.ticket import Ticket
@@ -54,7 +58,7 @@
         self.capacity = capacity
         self.limit = limit
         self.service_ms = service_ms
-        self.shares: Mapping[str, Share] = {}
+        self.shares: Mapping[str, CapacityShare] = {}
         self._deviation_ms: float = 0
         self._queues = OrganisationQueues()
         self._usage_tracker = UsageTracker()
@@ -69,7 +73,7 @@
         """Return the number of waiting calls."""
         return len(self._queues)
 
-    def get_safe_service_ms(self) -> float:
+    def get_conservative_service_ms(self) -> float:
         """
         Return a conservative estimate of the service time, in milliseconds.
 
@@ -78,7 +82,9 @@
         """
         return self.service_ms + _SERVICE_TIME_DEVIATIONS * self._deviation_ms
 
-    def offer(self, ticket: Ticket, now_ms: float) -> Result[Offer, Rejection]:
+    def enqueue(
+        self, ticket: Ticket, now_ms: float
+    ) -> Result[Acceptance, Rejection]:
         """
         Enqueue a ticket if it can finish in time; otherwise reject it at once.
 
@@ -96,7 +102,7 @@
         Result
             The acceptance with the evicted tickets, or the rejection.
         """
-        latest_ms = ticket.deadline_ms - self.get_safe_service_ms()
+        latest_ms = ticket.deadline_ms - self.get_conservative_service_ms()
         if latest_ms < now_ms:
             return Err(
                 Rejection(reason=Reason.deadline_too_short, wait_ms=0),
@@ -109,12 +115,12 @@
             candidate = self._find_eviction_candidate(ticket, now_ms)
             if candidate is None or len(evicted) >= _EVICTION_LIMIT:
                 return self._reject(ticket, evicted, now_ms)
-            self.withdraw(candidate)
+            self.cancel(candidate)
             evicted.append(candidate)
         self._queues.push(ticket)
-        return Ok(Offer(evicted=tuple(evicted)))
+        return Ok(Acceptance(evicted=tuple(evicted)))
 
-    def take(self, now_ms: float) -> Turn:
+    def dispatch(self, now_ms: float) -> DispatchResult:
         """
         Dispatch waiting calls to the free slots.
 
@@ -125,11 +131,11 @@
 
         Returns
         -------
-        Turn
+        DispatchResult
             Calls that start, and calls that can no longer finish in time.
         """
         # A call that is unlikely to finish in time would only waste a slot.
-        limit_ms = now_ms + self.get_safe_service_ms()
+        limit_ms = now_ms + self.get_conservative_service_ms()
         expired = tuple(self._queues.pop_late(limit_ms))
         started: list[Ticket] = []
         while self.running < self.capacity:
@@ -143,9 +149,9 @@
                 now_ms,
             )
             started.append(ticket)
-        return Turn(started=tuple(started), expired=expired)
+        return DispatchResult(started=tuple(started), expired=expired)
 
-    def finish(self, ticket: Ticket, busy_ms: float, now_ms: float) -> None:
+    def release(self, ticket: Ticket, busy_ms: float, now_ms: float) -> None:
         """
         Release the slot of a call and correct the usage charged for it.
 
@@ -161,7 +167,7 @@
         correction_ms = busy_ms - self.service_ms
         self._usage_tracker.release(ticket.organisation, correction_ms, now_ms)
 
-    def observe_service(self, busy_ms: float) -> None:
+    def record_service_time(self, busy_ms: float) -> None:
         """
         Update the estimate of the service time.
 
@@ -175,7 +181,7 @@
         self.service_ms += decay * error_ms
         self._deviation_ms += decay * (abs(error_ms) - self._deviation_ms)
 
-    def withdraw(self, ticket: Ticket) -> bool:
+    def cancel(self, ticket: Ticket) -> bool:
         """Remove a waiting ticket; return False if it no longer waits."""
         return self._queues.cancel(ticket)
 
--- a/packages/ragworthollow/src/ragworthollow/admission/share.py
+++ b/packages/ragworthollow/src/ragworthollow/admission/share.py
@@ -7,7 +7,7 @@
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
-class Share:
+class CapacityShare:
     """
     Define how much of an upstream's capacity an organisation may use.
 
@@ -26,12 +26,12 @@
     ceiling: float = 1.0
 
 
-DEFAULT_SHARE = Share()
+DEFAULT_SHARE = CapacityShare()
 
 
 def get_shares(
     organisations: Mapping[str, Organisation],
-) -> dict[str, Share]:
+) -> dict[str, CapacityShare]:
     """
     Return the shares that the configuration declares.
 
@@ -46,7 +46,7 @@
         Share of each organisation.
     """
     return {
-        name: Share(
+        name: CapacityShare(
             guarantee=organisation.guarantee,
             weight=organisation.weight,
             ceiling=organisation.ceiling,
@@ -56,7 +56,7 @@
 
 
 def get_fair_share(
-    shares: Mapping[str, Share],
+    shares: Mapping[str, CapacityShare],
     organisation: str,
     active: Iterable[str],
 ) -> float:
--- a/packages/ragworthollow/src/ragworthollow/conf/gateway_settings.py
+++ b/packages/ragworthollow/src/ragworthollow/conf/gateway_settings.py
@@ -5,7 +5,7 @@
 from msgspec import Meta
 
 from ragworthollow.conf import global_settings
-from ragworthollow.membership.host_capacity import measure_capacity
+from ragworthollow.membership.host_capacity import compute_capacity
 from ragworthollow.utils.message import StrictMessage
 
 
@@ -104,7 +104,7 @@
 
     def get_capacity(self) -> float:
         """Return the cores that this gateway can use for gates."""
-        return measure_capacity(
+        return compute_capacity(
             cores=self.cpu_share * self.cores,
             link_mbps=self.link_mbps,
         )
--- a/packages/ragworthollow/src/ragworthollow/configuration/follower.py
+++ b/packages/ragworthollow/src/ragworthollow/configuration/follower.py
@@ -17,7 +17,7 @@
     decode_manifest,
 )
 from ragworthollow.logs.events import log_event
-from ragworthollow.membership.peers import Peers
+from ragworthollow.membership.peers import PeerDirectory
 from ragworthollow.platform import StoreClient
 from ragworthollow.platform.store_position import StorePosition
 from ragworthollow.transport.timeouts import make_silence_timeout
@@ -48,7 +48,7 @@
         The platform's service.
     store : ConfigurationStore
         What is in force here.
-    peers : Peers
+    peers : PeerDirectory
         Who else runs.
     session : aiohttp.ClientSession
         Authenticated session to peers.
@@ -61,7 +61,7 @@
         *,
         key_value: StoreClient,
         store: ConfigurationStore,
-        peers: Peers,
+        peers: PeerDirectory,
         session: aiohttp.ClientSession,
         count_event: Callable[[str], None],
     ) -> None:
--- a/packages/ragworthollow/src/ragworthollow/configuration/store.py
+++ b/packages/ragworthollow/src/ragworthollow/configuration/store.py
@@ -5,7 +5,7 @@
 import msgspec
 from result import Err, Ok, Result
 
-from ragworthollow.admission.share import Share, get_shares
+from ragworthollow.admission.share import CapacityShare, get_shares
 from ragworthollow.checks.report import has_errors
 from ragworthollow.configuration.checks import check_files
 from ragworthollow.configuration.deployment import Deployment
@@ -35,7 +35,7 @@
         self.texts: dict[str, str] = {}
         self.memory = ParseMemory()
         self.deployment = Deployment()
-        self.shares: dict[str, Share] = {}
+        self.shares: dict[str, CapacityShare] = {}
         self._organisations_by_key: dict[str, str] = {}
         self._listeners: list[Listener] = []
 
--- a/packages/ragworthollow/src/ragworthollow/membership/__init__.py
+++ b/packages/ragworthollow/src/ragworthollow/membership/__init__.py
@@ -1,5 +1,5 @@
 """Track which processes exist and which of them watch the platform."""
 
-from ragworthollow.membership.peers import Peers
+from ragworthollow.membership.peers import PeerDirectory
 
-__all__ = ('Peers',)
+__all__ = ('PeerDirectory',)
--- a/packages/ragworthollow/src/ragworthollow/membership/fleet_line.py
+++ b/packages/ragworthollow/src/ragworthollow/membership/fleet_line.py
@@ -3,7 +3,7 @@
 from ragworthollow.utils.message import Message
 
 
-class FleetLine(Message):
+class ProcessStatus(Message):
     """
     Report the active configuration of one process.
 
--- a/packages/ragworthollow/src/ragworthollow/membership/gateway_members.py
+++ b/packages/ragworthollow/src/ragworthollow/membership/gateway_members.py
@@ -56,7 +56,7 @@
     def replace(
         self,
         members: Iterable[GatewayMember],
-        proved_ms: float = math.inf,
+        confirmed_ms: float = math.inf,
     ) -> None:
         """
         Replace the members by a complete list.
@@ -70,14 +70,14 @@
         ----------
         members : iterable of GatewayMember
             All listed members.
-        proved_ms : float
+        confirmed_ms : float
             When the list was confirmed as the latest, on the monotonic clock.
         """
         previous = self._members
         self._reported = {
             name: (member, received_ms)
             for name, (member, received_ms) in self._reported.items()
-            if received_ms > proved_ms
+            if received_ms > confirmed_ms
         }
         self._members = {member.instance: member for member in members}
         self._members.update(
@@ -89,7 +89,7 @@
         for member in self._members.values():
             self._record_leaving(member)
 
-    def learn(self, change: MemberChange, now_ms: float) -> None:
+    def apply_change(self, change: MemberChange, now_ms: float) -> None:
         """
         Apply a change that a member reports of itself.
 
@@ -111,11 +111,11 @@
         self._unresponsive.discard(member.instance)
         self._record_leaving(member)
 
-    def note_silent(self, instance: str) -> None:
+    def mark_unresponsive(self, instance: str) -> None:
         """Mark a member as unresponsive until it responds again."""
         self._unresponsive.add(instance)
 
-    def note_answer(self, state: HostState) -> None:
+    def record_response(self, state: HostState) -> None:
         """
         Record a response of a member: its state and its schedulers' waits.
 
@@ -139,7 +139,7 @@
         """Return the last reported waits of a host in ms, by priority."""
         return self._waits_ms.get(host, {}).get(pool, [])
 
-    def is_silent(self, instance: str) -> bool:
+    def is_unresponsive(self, instance: str) -> bool:
         """Return whether a member is marked as unresponsive."""
         return instance in self._unresponsive
 
@@ -156,7 +156,7 @@
         }
         return list(hosts.values())
 
-    def choose_asked(self) -> list[GatewayMember]:
+    def choose_ping_targets(self) -> list[GatewayMember]:
         """
         Choose the other members to ping.
 
@@ -193,7 +193,7 @@
             self._members[name] for name in targets if name in self._members
         ]
 
-    def get_reader_place(self) -> int | None:
+    def get_reader_rank(self) -> int | None:
         """
         Return the rank of this gateway among the hosts, which all others poll.
 
@@ -235,7 +235,7 @@
                 return self._members[name]
         return None
 
-    def find_first(self, pool: str) -> GatewayMember | None:
+    def find_highest_ranked(self, pool: str) -> GatewayMember | None:
         """Return the member with the highest rank, responsive or not."""
         return self._members.get(self._rank(pool)[0])
 
--- a/packages/ragworthollow/src/ragworthollow/membership/host_capacity.py
+++ b/packages/ragworthollow/src/ragworthollow/membership/host_capacity.py
@@ -5,7 +5,7 @@
 from ragworthollow.conf import global_settings
 
 
-def measure_capacity(*, cores: float, link_mbps: float) -> float:
+def compute_capacity(*, cores: float, link_mbps: float) -> float:
     """
     Return the number of cores that a host of schedulers can use.
 
--- a/packages/ragworthollow/src/ragworthollow/membership/peers.py
+++ b/packages/ragworthollow/src/ragworthollow/membership/peers.py
@@ -7,7 +7,7 @@
 from ragworthollow.utils.hashing import get_rank
 
 
-class Peers:
+class PeerDirectory:
     """
     Choose peers from the last known instance list.
 
--- a/packages/ragworthollow/src/ragworthollow/quarantine/__init__.py
+++ b/packages/ragworthollow/src/ragworthollow/quarantine/__init__.py
@@ -4,17 +4,17 @@
     EvidenceExchange,
     make_report,
 )
-from ragworthollow.quarantine.evidence_news import CrashReport, EvidenceNews
+from ragworthollow.quarantine.evidence_news import CrashReport, EvidenceUpdate
 from ragworthollow.quarantine.fingerprint import make_fingerprint
-from ragworthollow.quarantine.ledger import CrashLedger
-from ragworthollow.quarantine.suspect import Suspect
+from ragworthollow.quarantine.ledger import CrashRegistry
+from ragworthollow.quarantine.suspect import CrashRecord
 
 __all__ = (
-    'CrashLedger',
+    'CrashRecord',
+    'CrashRegistry',
     'CrashReport',
     'EvidenceExchange',
-    'EvidenceNews',
-    'Suspect',
+    'EvidenceUpdate',
     'make_fingerprint',
     'make_report',
 )
--- a/packages/ragworthollow/src/ragworthollow/quarantine/evidence_exchange.py
+++ b/packages/ragworthollow/src/ragworthollow/quarantine/evidence_exchange.py
@@ -4,9 +4,9 @@
 from dataclasses import dataclass
 
 from ragworthollow.conf import global_settings
-from ragworthollow.quarantine.evidence_news import CrashReport, EvidenceNews
-from ragworthollow.quarantine.ledger import CrashLedger
-from ragworthollow.quarantine.suspect import Suspect
+from ragworthollow.quarantine.evidence_news import CrashReport, EvidenceUpdate
+from ragworthollow.quarantine.ledger import CrashRegistry
+from ragworthollow.quarantine.suspect import CrashRecord
 
 
 @dataclass(kw_only=True, slots=True)
@@ -47,7 +47,7 @@
     ----------
     incarnation : str
         Incarnation of this process.
-    ledger : CrashLedger
+    registry : CrashRegistry
         Registry of the evidence.
     on_quarantine : callable
         Called with the fingerprint of each request that received evidence
@@ -58,15 +58,17 @@
         self,
         *,
         incarnation: str,
-        ledger: CrashLedger,
+        registry: CrashRegistry,
         on_quarantine: Callable[[str], None],
     ) -> None:
         self._incarnation = incarnation
-        self._registry = ledger
+        self._registry = registry
         self._on_quarantine = on_quarantine
         self._peers: dict[str, _PeerProgress] = {}
 
-    def make_news(self, peer_name: str, now_ms: float) -> EvidenceNews | None:
+    def make_update(
+        self, peer_name: str, now_ms: float
+    ) -> EvidenceUpdate | None:
         """
         Build the update for a gateway; return None if there is nothing to send.
 
@@ -87,7 +89,7 @@
         peer.needs_ack = False
         changes = self._registry.list_changes(peer.acked_number)
         changes = changes[: global_settings.EVIDENCE_REPORTS]
-        return EvidenceNews(
+        return EvidenceUpdate(
             teller=self._incarnation,
             number=changes[-1][0] if changes else self._registry.last_number,
             heard_teller=peer.sender,
@@ -99,10 +101,10 @@
             ),
         )
 
-    def take_news(
+    def apply_update(
         self,
         peer_name: str,
-        update: EvidenceNews,
+        update: EvidenceUpdate,
         now_ms: float,
     ) -> None:
         """
@@ -112,7 +114,7 @@
         ----------
         peer_name : str
             Name of the gateway.
-        update : EvidenceNews
+        update : EvidenceUpdate
             Update that was received.
         now_ms : float
             Time on the clock of the registry.
@@ -124,9 +126,9 @@
         peer.knows_incarnation = update.heard_teller == self._incarnation
         peer.acked_number = update.heard_number if peer.knows_incarnation else 0
         for report in update.reports:
-            self.take_report(report, now_ms)
+            self.apply_report(report, now_ms)
 
-    def take_report(self, report: CrashReport, now_ms: float) -> None:
+    def apply_report(self, report: CrashReport, now_ms: float) -> None:
         """Apply a report of the evidence against one request."""
         is_new = self._registry.add(
             report.fingerprint,
@@ -143,7 +145,7 @@
 
 def make_report(
     fingerprint: str,
-    record: Suspect,
+    record: CrashRecord,
     now_ms: float,
 ) -> CrashReport:
     """Build the report of the evidence against one request."""
--- a/packages/ragworthollow/src/ragworthollow/quarantine/evidence_news.py
+++ b/packages/ragworthollow/src/ragworthollow/quarantine/evidence_news.py
@@ -23,7 +23,7 @@
     cleared: tuple[str, ...] = ()
 
 
-class EvidenceNews(Message):
+class EvidenceUpdate(Message):
     """
     Send changes that the receiver lacks, and acknowledge received changes.
 
--- a/packages/ragworthollow/src/ragworthollow/quarantine/ledger.py
+++ b/packages/ragworthollow/src/ragworthollow/quarantine/ledger.py
@@ -3,10 +3,10 @@
 from collections.abc import Iterable, Mapping
 
 from ragworthollow.conf import global_settings
-from ragworthollow.quarantine.suspect import NEVER_MS, Suspect
+from ragworthollow.quarantine.suspect import NEVER_MS, CrashRecord
 
 
-class CrashLedger:
+class CrashRegistry:
     """
     Record which requests were running in crashes, and decide which are harmful.
 
@@ -19,9 +19,9 @@
     crash_limit : int
         Number of crashes since its last success at which a request is
         quarantined.
-    term_ms : float
+    quarantine_ms : float
         Duration of the quarantine after the last crash.
-    longest : int
+    max_records : int
         Maximum number of requests recorded.  Those with the oldest evidence
         are dropped first, and quarantined requests last.
     """
@@ -30,19 +30,19 @@
         self,
         *,
         crash_limit: int,
-        term_ms: float,
-        longest: int = global_settings.SUSPECTS_KEPT,
+        quarantine_ms: float,
+        max_records: int = global_settings.SUSPECTS_KEPT,
     ) -> None:
         self._crash_limit = crash_limit
-        self._quarantine_ms = term_ms
-        self._max_records = longest
-        self._records: dict[str, Suspect] = {}
+        self._quarantine_ms = quarantine_ms
+        self._max_records = max_records
+        self._records: dict[str, CrashRecord] = {}
         # Sequence number of the last change of each request, ascending.
         self._numbers: dict[str, int] = {}
         self._next_forget_ms = NEVER_MS
         self.last_number = 0
 
-    def note_crash(
+    def record_crash(
         self,
         fingerprint: str,
         incarnation: str,
@@ -103,8 +103,8 @@
         """
         record = self._records.get(fingerprint)
         if record is None:
-            record = Suspect()
-        was_quarantined = self.get_left_ms(fingerprint, now_ms) > 0
+            record = CrashRecord()
+        was_quarantined = self.get_remaining_ms(fingerprint, now_ms) > 0
         if not record.add(crashes, cleared):
             return False
         self._records[fingerprint] = record
@@ -112,16 +112,19 @@
         self._numbers.pop(fingerprint, None)
         self._numbers[fingerprint] = self.last_number
         self._forget(now_ms)
-        return not was_quarantined and self.get_left_ms(fingerprint, now_ms) > 0
+        return (
+            not was_quarantined
+            and self.get_remaining_ms(fingerprint, now_ms) > 0
+        )
 
-    def get_left_ms(self, fingerprint: str, now_ms: float) -> float:
+    def get_remaining_ms(self, fingerprint: str, now_ms: float) -> float:
         """Return the remaining time of a request in quarantine, or 0."""
         record = self._records.get(fingerprint)
         if record is None:
             return 0
         return max(0, self._get_release_ms(record) - now_ms)
 
-    def get_suspect(self, fingerprint: str) -> Suspect | None:
+    def get_record(self, fingerprint: str) -> CrashRecord | None:
         """Return the evidence against a request, or None."""
         return self._records.get(fingerprint)
 
@@ -137,7 +140,7 @@
         """Return the number of recorded requests."""
         return len(self._records)
 
-    def list_changes(self, after: int) -> list[tuple[int, str, Suspect]]:
+    def list_changes(self, after: int) -> list[tuple[int, str, CrashRecord]]:
         """Return the changes after a sequence number, oldest first."""
         changes = []
         for fingerprint, number in reversed(self._numbers.items()):
@@ -147,7 +150,7 @@
         changes.reverse()
         return changes
 
-    def _get_release_ms(self, record: Suspect) -> float:
+    def _get_release_ms(self, record: CrashRecord) -> float:
         return record.get_release_ms(self._crash_limit, self._quarantine_ms)
 
     def _forget(self, now_ms: float) -> None:
--- a/packages/ragworthollow/src/ragworthollow/quarantine/operator_messages.py
+++ b/packages/ragworthollow/src/ragworthollow/quarantine/operator_messages.py
@@ -25,13 +25,13 @@
     left_ms: float
 
 
-class ReleaseOrder(Message):
+class ReleaseRequest(Message):
     """Release a request from quarantine at every gateway."""
 
     fingerprint: str
 
 
-class ReleaseAnswer(Message, omit_defaults=False):
+class ReleaseResponse(Message, omit_defaults=False):
     """Report whether there was evidence against the request."""
 
     is_released: bool
--- a/packages/ragworthollow/src/ragworthollow/quarantine/suspect.py
+++ b/packages/ragworthollow/src/ragworthollow/quarantine/suspect.py
@@ -9,7 +9,7 @@
 
 
 @dataclass(kw_only=True, slots=True)
-class Suspect:
+class CrashRecord:
     """
     Record the crashes in which a request was running.
 
--- a/packages/ragworthollow/src/ragworthollow/retries/budget.py
+++ b/packages/ragworthollow/src/ragworthollow/retries/budget.py
@@ -34,11 +34,11 @@
         self._burst = burst
         self.tokens = min(self.tokens, burst)
 
-    def earn(self) -> None:
+    def deposit(self) -> None:
         """Add the tokens of a first attempt."""
         self.tokens = min(self._burst, self.tokens + self._ratio)
 
-    def spend(self) -> bool:
+    def withdraw(self) -> bool:
         """Withdraw a token for a further attempt; return False without one."""
         if self.tokens < 1:
             return False
--- a/packages/ragworthollow/src/ragworthollow/routing/choice.py
+++ b/packages/ragworthollow/src/ragworthollow/routing/choice.py
@@ -12,7 +12,7 @@
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
-class Wish:
+class SelectionCriteria:
     """
     Define how to select the instance of an attempt.
 
@@ -28,9 +28,9 @@
     avoid: frozenset[str] = frozenset()
 
 
-def choose_peer(
+def choose_instance(
     states: Sequence[PeerState],
-    criteria: Wish,
+    criteria: SelectionCriteria,
     now_ms: float,
     rng: random.Random,
 ) -> PeerState | None:
@@ -47,7 +47,7 @@
     ----------
     states : sequence of PeerState
         States of the instances in the subset of the pool.
-    criteria : Wish
+    criteria : SelectionCriteria
         Affinity key, and instances to avoid.
     now_ms : float
         Time on the monotonic clock.
--- a/packages/ragworthollow/src/ragworthollow/throttling/__init__.py
+++ b/packages/ragworthollow/src/ragworthollow/throttling/__init__.py
@@ -1,38 +1,38 @@
 """Limit the requests to instances to the rates that they accept."""
 
 from ragworthollow.throttling.limit_news import (
-    LimitNews,
-    make_limit_news,
-    read_limit_news,
+    LimitUpdate,
+    make_limit_update,
+    read_limit_update,
 )
 from ragworthollow.throttling.limits import (
     RateLimits,
+    derive_advertised_limits,
     derive_limits,
-    derive_named_limits,
 )
 from ragworthollow.throttling.named_limit import (
     UNLIMITED_PER_S,
-    NamedLimit,
+    AdvertisedLimit,
 )
-from ragworthollow.throttling.named_limits import NamedLimits
+from ragworthollow.throttling.named_limits import AdvertisedLimits
 from ragworthollow.throttling.pacer import Pacer
-from ragworthollow.throttling.quota import SenderShare, derive_share
+from ragworthollow.throttling.quota import SenderQuota, derive_quota
 from ragworthollow.throttling.senders import Senders
 from ragworthollow.throttling.throttle import Throttle
 
 __all__ = (
     'UNLIMITED_PER_S',
-    'LimitNews',
-    'NamedLimit',
-    'NamedLimits',
+    'AdvertisedLimit',
+    'AdvertisedLimits',
+    'LimitUpdate',
     'Pacer',
     'RateLimits',
-    'SenderShare',
+    'SenderQuota',
     'Senders',
     'Throttle',
+    'derive_advertised_limits',
     'derive_limits',
-    'derive_named_limits',
-    'derive_share',
-    'make_limit_news',
-    'read_limit_news',
+    'derive_quota',
+    'make_limit_update',
+    'read_limit_update',
 )
--- a/packages/ragworthollow/src/ragworthollow/throttling/limit_news.py
+++ b/packages/ragworthollow/src/ragworthollow/throttling/limit_news.py
@@ -2,12 +2,12 @@
 
 from ragworthollow.throttling.named_limit import (
     UNLIMITED_PER_S,
-    NamedLimit,
+    AdvertisedLimit,
 )
 from ragworthollow.utils.message import Message
 
 
-class LimitNews(Message):
+class LimitUpdate(Message):
     """
     Report the rate limit that an instance has advertised.
 
@@ -25,21 +25,21 @@
     requests_per_s: float | None = None
 
 
-def make_limit_news(limit: NamedLimit, now_ms: float) -> LimitNews:
+def make_limit_update(limit: AdvertisedLimit, now_ms: float) -> LimitUpdate:
     """Build the update for the limit that a response advertised."""
-    return LimitNews(
+    return LimitUpdate(
         requests_per_s=limit.requests_per_s if limit.is_limit() else None,
-        asked_age_ms=now_ms - limit.asked_ms,
-        heard_age_ms=now_ms - limit.heard_ms,
+        asked_age_ms=now_ms - limit.sent_ms,
+        heard_age_ms=now_ms - limit.received_ms,
     )
 
 
-def read_limit_news(
-    update: LimitNews,
+def read_limit_update(
+    update: LimitUpdate,
     *,
     sent_after_ms: float,
     now_ms: float,
-) -> NamedLimit:
+) -> AdvertisedLimit:
     """
     Read an update that was sent within a known span of time.
 
@@ -50,15 +50,15 @@
 
     Parameters
     ----------
-    update : LimitNews
+    update : LimitUpdate
         Update that was received.
     sent_after_ms, now_ms : float
         Earliest and latest time at which it was sent, on CLOCK_BOOTTIME,
         which includes time in suspend.
     """
     limit_per_s = update.requests_per_s
-    return NamedLimit(
+    return AdvertisedLimit(
         requests_per_s=UNLIMITED_PER_S if limit_per_s is None else limit_per_s,
-        asked_ms=sent_after_ms - update.asked_age_ms,
-        heard_ms=now_ms - update.heard_age_ms,
+        sent_ms=sent_after_ms - update.asked_age_ms,
+        received_ms=now_ms - update.heard_age_ms,
     )
--- a/packages/ragworthollow/src/ragworthollow/throttling/limits.py
+++ b/packages/ragworthollow/src/ragworthollow/throttling/limits.py
@@ -56,7 +56,7 @@
     return RateLimits(requests_per_s=requests_per_s, burst=max(1, burst))
 
 
-def derive_named_limits(requests_per_s: float) -> RateLimits:
+def derive_advertised_limits(requests_per_s: float) -> RateLimits:
     """
     Derive the limits of an instance that advertises a rate limit.
 
--- a/packages/ragworthollow/src/ragworthollow/throttling/named_limit.py
+++ b/packages/ragworthollow/src/ragworthollow/throttling/named_limit.py
@@ -7,7 +7,7 @@
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
-class NamedLimit:
+class AdvertisedLimit:
     """
     Hold the rate limit that one response of an instance advertises.
 
@@ -21,7 +21,7 @@
     requests_per_s : float
         Requests per second that it accepts from all gateways together;
         `UNLIMITED_PER_S` if the response advertises no limit.
-    asked_ms, heard_ms : float
+    sent_ms, received_ms : float
         When the request was sent and when the head of its response arrived,
         on CLOCK_BOOTTIME, which includes time in suspend: on another clock,
         a limit that this machine sends to other gateways after a suspend
@@ -29,14 +29,14 @@
     """
 
     requests_per_s: float
-    asked_ms: float
-    heard_ms: float
+    sent_ms: float
+    received_ms: float
 
     def is_limit(self) -> bool:
         """Return whether a limit was advertised."""
         return math.isfinite(self.requests_per_s)
 
-    def merge(self, other: 'NamedLimit') -> 'NamedLimit':
+    def merge(self, other: 'AdvertisedLimit') -> 'AdvertisedLimit':
         """
         Return the limit that applies after two responses.
 
@@ -44,14 +44,16 @@
         may be the fresher: with the higher limit, the instance could
         receive more than it accepts.
         """
-        if other.heard_ms <= self.asked_ms:
+        if other.received_ms <= self.sent_ms:
             return self
-        if other.asked_ms >= self.heard_ms:
+        if other.sent_ms >= self.received_ms:
             return other
         lower, higher = sorted(
             (self, other),
-            key=lambda limit: (limit.requests_per_s, -limit.asked_ms),
+            key=lambda limit: (limit.requests_per_s, -limit.sent_ms),
         )
         if not higher.is_limit():
             return lower
-        return replace(lower, heard_ms=max(lower.heard_ms, higher.heard_ms))
+        return replace(
+            lower, received_ms=max(lower.received_ms, higher.received_ms)
+        )
--- a/packages/ragworthollow/src/ragworthollow/throttling/named_limits.py
+++ b/packages/ragworthollow/src/ragworthollow/throttling/named_limits.py
@@ -1,10 +1,10 @@
 """Track the rate limits that instances advertise in their responses."""
 
 from ragworthollow.conf import global_settings
-from ragworthollow.throttling.named_limit import NamedLimit
+from ragworthollow.throttling.named_limit import AdvertisedLimit
 
 
-class NamedLimits:
+class AdvertisedLimits:
     """
     Track the rate limit of each incarnation of an instance.
 
@@ -14,13 +14,13 @@
     """
 
     def __init__(self) -> None:
-        self._known: dict[str, NamedLimit] = {}
+        self._known: dict[str, AdvertisedLimit] = {}
         # When the limit last changed, by incarnation, latest change last.
         self._changed_ms: dict[str, float] = {}
         self._last_sent_ms = float('-inf')
         self._next_index = 0
 
-    def note(self, incarnation: str, limit: NamedLimit) -> bool:
+    def record(self, incarnation: str, limit: AdvertisedLimit) -> bool:
         """
         Record what a response advertises.
 
@@ -28,7 +28,7 @@
         ----------
         incarnation : str
             Incarnation of the instance.
-        limit : NamedLimit
+        limit : AdvertisedLimit
             Limit that the response advertises, or its absence.
 
         Returns
@@ -45,7 +45,7 @@
         self._store(incarnation, merged)
         return merged.requests_per_s != known.requests_per_s
 
-    def note_heard(self, incarnation: str, limit: NamedLimit) -> bool:
+    def record_received(self, incarnation: str, limit: AdvertisedLimit) -> bool:
         """
         Record a limit received from another gateway.
 
@@ -62,26 +62,26 @@
         is_echo = (
             known is not None
             and known.requests_per_s == limit.requests_per_s
-            and known.asked_ms >= limit.asked_ms
+            and known.sent_ms >= limit.sent_ms
         )
-        return not is_echo and self.note(incarnation, limit)
+        return not is_echo and self.record(incarnation, limit)
 
     def may_have_any(self, now_ms: float) -> bool:
         """Return whether any instance may have a limit now."""
         return bool(_get_remaining_ms(self._last_sent_ms, now_ms))
 
-    def find(self, incarnation: str, now_ms: float) -> NamedLimit | None:
+    def find(self, incarnation: str, now_ms: float) -> AdvertisedLimit | None:
         """Return the limit of an instance, or None if it has none."""
         known = self._known.get(incarnation)
         if known is None or not known.is_limit():
             return None
-        return known if _get_remaining_ms(known.asked_ms, now_ms) else None
+        return known if _get_remaining_ms(known.sent_ms, now_ms) else None
 
-    def get_left_ms(self, limit: NamedLimit, now_ms: float) -> float:
+    def get_remaining_ms(self, limit: AdvertisedLimit, now_ms: float) -> float:
         """Return how long a limit applies unless it is advertised again."""
-        return _get_remaining_ms(limit.asked_ms, now_ms)
+        return _get_remaining_ms(limit.sent_ms, now_ms)
 
-    def choose_told(self, now_ms: float) -> dict[str, NamedLimit]:
+    def choose_to_send(self, now_ms: float) -> dict[str, AdvertisedLimit]:
         """
         Choose the limits to send to another gateway now.
 
@@ -91,7 +91,7 @@
 
         Returns
         -------
-        dict of str to NamedLimit
+        dict of str to AdvertisedLimit
             Latest limits of the chosen instances, by incarnation, including
             limits that ended.
         """
@@ -111,16 +111,16 @@
         return {
             incarnation: limit
             for incarnation, limit in selected.items()
-            if _get_remaining_ms(limit.asked_ms, now_ms)
+            if _get_remaining_ms(limit.sent_ms, now_ms)
         }
 
-    def _store(self, incarnation: str, limit: NamedLimit) -> bool:
+    def _store(self, incarnation: str, limit: AdvertisedLimit) -> bool:
         known = self._known.get(incarnation)
         _store(self._known, incarnation, limit)
         if limit.is_limit():
-            self._last_sent_ms = max(self._last_sent_ms, limit.asked_ms)
+            self._last_sent_ms = max(self._last_sent_ms, limit.sent_ms)
         if known is None or known.requests_per_s != limit.requests_per_s:
-            _store(self._changed_ms, incarnation, limit.heard_ms)
+            _store(self._changed_ms, incarnation, limit.received_ms)
         return True
 
     def _get_next_in_turn(self, count: int) -> list[str]:
@@ -136,9 +136,9 @@
 
 
 def _store(
-    stored: dict[str, NamedLimit] | dict[str, float],
+    stored: dict[str, AdvertisedLimit] | dict[str, float],
     incarnation: str,
-    newest: NamedLimit | float,
+    newest: AdvertisedLimit | float,
 ) -> None:
     """Store a value as the latest, and drop the oldest beyond a limit."""
     stored.pop(incarnation, None)
--- a/packages/ragworthollow/src/ragworthollow/throttling/pacer.py
+++ b/packages/ragworthollow/src/ragworthollow/throttling/pacer.py
@@ -3,7 +3,7 @@
 from collections import deque
 from collections.abc import Sequence
 
-from ragworthollow.throttling.quota import SenderShare
+from ragworthollow.throttling.quota import SenderQuota
 
 _SECOND_MS = 1000
 
@@ -23,7 +23,7 @@
     def get_wait_ms(
         self,
         incarnation: str,
-        quota: SenderShare,
+        quota: SenderQuota,
         now_ms: float,
     ) -> float:
         """
@@ -41,10 +41,10 @@
         )
         return max(0, free_ms - now_ms)
 
-    def note(
+    def record(
         self,
         incarnation: str,
-        quotas: Sequence[SenderShare],
+        quotas: Sequence[SenderQuota],
         now_ms: float,
     ) -> None:
         """
@@ -54,7 +54,7 @@
         ----------
         incarnation : str
             Incarnation of the instance.
-        quotas : sequence of SenderShare
+        quotas : sequence of SenderQuota
             Quotas towards which it counts.
         now_ms : float
             Time on the monotonic clock.
--- a/packages/ragworthollow/src/ragworthollow/throttling/quota.py
+++ b/packages/ragworthollow/src/ragworthollow/throttling/quota.py
@@ -13,7 +13,7 @@
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
-class SenderShare:
+class SenderQuota:
     """
     Define how many gateways may send, and how much each of them.
 
@@ -37,7 +37,7 @@
     requests_at_once: int
     extra: int = 0
 
-    def add_extra(self) -> 'SenderShare':
+    def add_extra(self) -> 'SenderQuota':
         """Return the quota of a gateway that may send one more request."""
         return replace(
             self,
@@ -46,7 +46,7 @@
         )
 
 
-def derive_share(limits: RateLimits, gateways: int) -> SenderShare:
+def derive_quota(limits: RateLimits, gateways: int) -> SenderQuota:
     """
     Derive the quota of each sender.
 
@@ -63,7 +63,7 @@
     requests = max(1, math.floor(total / senders))
     # A request arrives some time after its instance was chosen.
     window_ms = limits.window_ms + global_settings.SENDING_MS
-    return SenderShare(
+    return SenderQuota(
         senders=senders,
         requests=requests,
         window_ms=window_ms / min(1, total),
--- a/packages/ragworthollow/src/ragworthollow/throttling/senders.py
+++ b/packages/ragworthollow/src/ragworthollow/throttling/senders.py
@@ -21,13 +21,13 @@
     ----------
     gateway : str
         Name of this gateway.
-    settle_ms : float
+    propagation_ms : float
         Time in which all gateways learn of a gateway that has registered.
     """
 
-    def __init__(self, *, gateway: str, settle_ms: float) -> None:
+    def __init__(self, *, gateway: str, propagation_ms: float) -> None:
         self._gateway = gateway
-        self._propagation_ms = settle_ms
+        self._propagation_ms = propagation_ms
         self._members: frozenset[str] = frozenset()
         self._propagated_ms = math.inf
         # Cache: whether this gateway may send, by incarnation and number of
--- a/packages/ragworthollow/src/ragworthollow/throttling/throttle.py
+++ b/packages/ragworthollow/src/ragworthollow/throttling/throttle.py
@@ -2,10 +2,10 @@
 
 from collections.abc import Iterator
 
-from ragworthollow.throttling.limits import RateLimits, derive_named_limits
-from ragworthollow.throttling.named_limits import NamedLimits
+from ragworthollow.throttling.limits import RateLimits, derive_advertised_limits
+from ragworthollow.throttling.named_limits import AdvertisedLimits
 from ragworthollow.throttling.pacer import Pacer
-from ragworthollow.throttling.quota import SenderShare, derive_share
+from ragworthollow.throttling.quota import SenderQuota, derive_quota
 from ragworthollow.throttling.senders import Senders
 from ragworthollow.throttling.warm_ups import WarmUpTracker
 from ragworthollow.utils import get_boottime_ms, get_monotonic_ms
@@ -26,19 +26,19 @@
     ----------
     gateway : str
         Name of this gateway.
-    settle_ms : float
+    propagation_ms : float
         Time in which all gateways learn of a gateway that has registered.
     """
 
-    def __init__(self, *, gateway: str, settle_ms: float) -> None:
+    def __init__(self, *, gateway: str, propagation_ms: float) -> None:
         self.warm_ups = WarmUpTracker()
-        self.named_limits = NamedLimits()
-        self.senders = Senders(gateway=gateway, settle_ms=settle_ms)
+        self.advertised_limits = AdvertisedLimits()
+        self.senders = Senders(gateway=gateway, propagation_ms=propagation_ms)
         self._pacer = Pacer()
 
     def is_needed(self) -> bool:
         """Return whether any instance may currently have a limit."""
-        if self.named_limits.may_have_any(get_boottime_ms()):
+        if self.advertised_limits.may_have_any(get_boottime_ms()):
             return True
         return self.warm_ups.may_have_any(get_monotonic_ms())
 
@@ -88,7 +88,7 @@
             wait_ms = max(wait_ms, remaining_ms)
         return wait_ms
 
-    def note_sent(
+    def record_sent(
         self,
         incarnation: str,
         warm_up_limits: RateLimits | None,
@@ -112,7 +112,7 @@
         ]
         known = [quota for quota in quotas if quota is not None]
         if known:
-            self._pacer.note(incarnation, known, now_ms)
+            self._pacer.record(incarnation, known, now_ms)
 
     def _find_limits(
         self,
@@ -121,15 +121,17 @@
         now_ms: float,
     ) -> Iterator[tuple[RateLimits, float]]:
         """Yield the limits of an instance and how long each still applies."""
-        remaining_ms = self.warm_ups.get_left_ms(incarnation, now_ms)
+        remaining_ms = self.warm_ups.get_remaining_ms(incarnation, now_ms)
         if warm_up_limits is not None and remaining_ms:
             yield warm_up_limits, remaining_ms
         boottime_ms = get_boottime_ms()
-        advertised = self.named_limits.find(incarnation, boottime_ms)
+        advertised = self.advertised_limits.find(incarnation, boottime_ms)
         if advertised is not None:
             yield (
-                derive_named_limits(advertised.requests_per_s),
-                self.named_limits.get_left_ms(advertised, boottime_ms),
+                derive_advertised_limits(advertised.requests_per_s),
+                self.advertised_limits.get_remaining_ms(
+                    advertised, boottime_ms
+                ),
             )
 
     def _find_quota(
@@ -139,11 +141,11 @@
         now_ms: float,
         *,
         is_only_sender: bool,
-    ) -> SenderShare | None:
+    ) -> SenderQuota | None:
         """Return the quota of this gateway; None if only others may send."""
         if is_only_sender:
-            return derive_share(limits, 1)
-        quota = derive_share(limits, self.senders.count())
+            return derive_quota(limits, 1)
+        quota = derive_quota(limits, self.senders.count())
         if not self.senders.is_chosen(incarnation, quota.senders, now_ms):
             return None
         if self.senders.is_chosen(incarnation, quota.extra, now_ms):
--- a/packages/ragworthollow/src/ragworthollow/throttling/warm_ups.py
+++ b/packages/ragworthollow/src/ragworthollow/throttling/warm_ups.py
@@ -21,12 +21,12 @@
         self._reported_until_ms: dict[str, float] = {}
         self._last_ms = float('-inf')
 
-    def note_entry(self, incarnation: str, until_ms: float) -> None:
+    def record_entry(self, incarnation: str, until_ms: float) -> None:
         """Apply a new store record of an instance."""
         self._last_ms = max(self._last_ms, until_ms)
         _store(self._listed_until_ms, incarnation, until_ms)
 
-    def note(self, incarnation: str, until_ms: float) -> None:
+    def record(self, incarnation: str, until_ms: float) -> None:
         """Record that an instance warms up at least until some time."""
         known_ms = self._reported_until_ms.get(incarnation, until_ms)
         self._last_ms = max(self._last_ms, until_ms)
@@ -36,7 +36,7 @@
         """Return whether any instance may still be warming up."""
         return now_ms < self._last_ms
 
-    def get_left_ms(self, incarnation: str, now_ms: float) -> float:
+    def get_remaining_ms(self, incarnation: str, now_ms: float) -> float:
         """Return the remaining warm-up time of an instance, or 0."""
         until_ms = max(
             self._listed_until_ms.get(incarnation, now_ms),
--- a/packages/ragworthollow/src/ragworthollow/transport/host_messages.py
+++ b/packages/ragworthollow/src/ragworthollow/transport/host_messages.py
@@ -1,9 +1,9 @@
 """Define what gateways say to each other about themselves."""
 
 from ragworthollow.membership.gateway_member import GatewayMember
-from ragworthollow.quarantine.evidence_news import EvidenceNews
+from ragworthollow.quarantine.evidence_news import EvidenceUpdate
 from ragworthollow.replica.store_news import StoreNews
-from ragworthollow.throttling.limit_news import LimitNews
+from ragworthollow.throttling.limit_news import LimitUpdate
 from ragworthollow.utils.message import Message
 
 PING_PATH = '/v1/ping'
@@ -25,11 +25,11 @@
     store_revision, store_timeline : int
         Up to which it knows what the store holds, and how often the store had
         been restored by then.
-    evidence : EvidenceNews, optional
+    evidence : EvidenceUpdate, optional
         What it knows of crashes.
     leaving_ages_ms : dict of str to float
         How long ago instances said that they leave, by their incarnation.
-    named_limits : dict of str to LimitNews
+    named_limits : dict of str to LimitUpdate
         What instances have said of their limits, by their incarnation.
     """
 
@@ -38,9 +38,9 @@
     announced: dict[str, list[int]] = {}
     store_revision: int = 0
     store_timeline: int = 0
-    evidence: EvidenceNews | None = None
+    evidence: EvidenceUpdate | None = None
     leaving_ages_ms: dict[str, float] = {}
-    named_limits: dict[str, LimitNews] = {}
+    named_limits: dict[str, LimitUpdate] = {}
 
 
 class HostState(Message):
@@ -61,11 +61,11 @@
         instance of the pool takes work.
     store : StoreNews, optional
         What it knows of the store; nothing before its first read.
-    evidence : EvidenceNews, optional
+    evidence : EvidenceUpdate, optional
         What it knows of crashes.
     leaving_ages_ms : dict of str to float
         How long ago instances said that they leave, by their incarnation.
-    named_limits : dict of str to LimitNews
+    named_limits : dict of str to LimitUpdate
         What instances have said of their limits, by their incarnation.
     """
 
@@ -74,9 +74,9 @@
     is_leaving: bool = False
     waits_ms: dict[str, list[float | None]] = {}
     store: StoreNews | None = None
-    evidence: EvidenceNews | None = None
+    evidence: EvidenceUpdate | None = None
     leaving_ages_ms: dict[str, float] = {}
-    named_limits: dict[str, LimitNews] = {}
+    named_limits: dict[str, LimitUpdate] = {}
 
 
 class MemberChange(Message):
--- a/tests/features/steps/admission.py
+++ b/tests/features/steps/admission.py
@@ -10,7 +10,7 @@
 from hypothesis import strategies as st
 from result import Ok
 
-from ragworthollow.admission import AdmissionQueue, Share, Ticket
+from ragworthollow.admission import AdmissionQueue, CapacityShare, Ticket
 from ragworthollow.admission.estimate import get_retry_after_ms
 
 _SERVICE_MS = 50
@@ -23,8 +23,8 @@
     # The weights are far apart, so that only the guarantee can protect the
     # lighter one.
     queue.shares = {
-        'one': Share(guarantee=0.5, weight=9),
-        'two': Share(guarantee=0.5, weight=1),
+        'one': CapacityShare(guarantee=0.5, weight=9),
+        'two': CapacityShare(guarantee=0.5, weight=1),
     }
     return queue
 
@@ -51,11 +51,11 @@
                 deadline_ms=moment + _DEADLINE_MS,
                 cost_ms=_SERVICE_MS,
             )
-            queue.offer(ticket, moment)
+            queue.enqueue(ticket, moment)
         else:
-            queue.finish(payload, _SERVICE_MS, moment)
+            queue.release(payload, _SERVICE_MS, moment)
             done[payload.organisation] += 1
-        for ticket in queue.take(moment).started:
+        for ticket in queue.dispatch(moment).started:
             busy[ticket.organisation] += _SERVICE_MS
             end = moment + _SERVICE_MS
             heapq.heappush(events, (end, rng.random(), 'end', ticket))
@@ -86,15 +86,15 @@
                 worth=worth,
                 cost_ms=20,
             )
-            offered = queue.offer(ticket, now)
+            offered = queue.enqueue(ticket, now)
             if isinstance(offered, Ok):
                 state[number] = 'waiting'
                 for gone in offered.ok_value.evicted:
                     assert state[gone.ticket_id] == 'waiting'
                     state[gone.ticket_id] = 'evicted'
             if is_ended and running:
-                queue.finish(running.pop(), 20, now)
-            turn = queue.take(now)
+                queue.release(running.pop(), 20, now)
+            turn = queue.dispatch(now)
             for late in turn.expired:
                 assert state[late.ticket_id] == 'waiting'
                 state[late.ticket_id] = 'expired'
@@ -175,8 +175,8 @@
             deadline_ms=900,
             cost_ms=100,
         )
-        assert isinstance(context.queue.offer(ticket, 0), Ok)
-    context.queue.take(0)
+        assert isinstance(context.queue.enqueue(ticket, 0), Ok)
+    context.queue.dispatch(0)
 
 
 def _offer(context, *, deadline_ms, worth):
@@ -187,7 +187,7 @@
         worth=worth,
         cost_ms=100,
     )
-    return context.queue.offer(ticket, 0)
+    return context.queue.enqueue(ticket, 0)
 
 
 @when('a call of great worth arrives that would come too late')
@@ -204,7 +204,7 @@
 @given('a queue of calls of little worth, all within their guarantee')
 def fill_guaranteed(context):
     fill(context)
-    context.queue.shares = {'one': Share(guarantee=1)}
+    context.queue.shares = {'one': CapacityShare(guarantee=1)}
 
 
 @then('none of them has to go')
--- a/tests/features/steps/answer_notices.py
+++ b/tests/features/steps/answer_notices.py
@@ -131,7 +131,7 @@
 @then('no gateway takes another for silent')
 def check_none_silent(context):
     for role in context.gateway_stage.gateways.values():
-        assert not any(map(role.members.is_silent, NAMES))
+        assert not any(map(role.members.is_unresponsive, NAMES))
 
 
 @when('{count:d} more callers post to {path:S}')
--- a/tests/features/steps/crash_evidence.py
+++ b/tests/features/steps/crash_evidence.py
@@ -13,7 +13,7 @@
 from measure.quarantine_model.scenario import Scenario
 from ragworthollow.metrics import Metrics
 from ragworthollow.quarantine import (
-    CrashLedger,
+    CrashRegistry,
     EvidenceExchange,
     make_fingerprint,
 )
@@ -34,14 +34,16 @@
 }
 
 
-def _make_ledger(**limits) -> CrashLedger:
-    return CrashLedger(crash_limit=2, term_ms=_TERM_MS, **limits)
+def _make_ledger(**limits) -> CrashRegistry:
+    return CrashRegistry(crash_limit=2, quarantine_ms=_TERM_MS, **limits)
 
 
 def _crash(context, count) -> None:
     for _ in range(count):
         context.crashes += 1
-        context.ledger.note_crash(_WORK, f'i{context.crashes}', context.now_ms)
+        context.ledger.record_crash(
+            _WORK, f'i{context.crashes}', context.now_ms
+        )
 
 
 @given('a request that was running in {count:d} crashes')
@@ -71,30 +73,30 @@
 @when('{hours:d} hours have passed and another request was running in a crash')
 def pass_hours(context, hours):
     context.now_ms += hours * _HOUR_MS
-    context.ledger.note_crash('another', 'i9', context.now_ms)
+    context.ledger.record_crash('another', 'i9', context.now_ms)
 
 
 @then('only that one is remembered')
 def check_forgotten(context):
     assert context.ledger.count() == 1
-    assert context.ledger.get_suspect('another')
+    assert context.ledger.get_record('another')
 
 
 @then('it is not quarantined')
 def check_let_in(context):
-    assert not context.ledger.get_left_ms(_WORK, context.now_ms)
+    assert not context.ledger.get_remaining_ms(_WORK, context.now_ms)
 
 
 @then('it is quarantined for {seconds:d} seconds')
 def check_quarantined(context, seconds):
-    left_ms = context.ledger.get_left_ms(_WORK, context.now_ms)
+    left_ms = context.ledger.get_remaining_ms(_WORK, context.now_ms)
     assert left_ms == seconds * 1000, left_ms
 
 
-def _make_exchange(name: str, ledger: CrashLedger) -> EvidenceExchange:
+def _make_exchange(name: str, ledger: CrashRegistry) -> EvidenceExchange:
     return EvidenceExchange(
         incarnation=name,
-        ledger=ledger,
+        registry=ledger,
         on_quarantine=lambda _: None,
     )
 
@@ -126,7 +128,7 @@
     """Hold gateways that tell each other of evidence."""
 
     def __init__(self) -> None:
-        self.ledgers: dict[str, CrashLedger] = {}
+        self.ledgers: dict[str, CrashRegistry] = {}
         self._exchanges: dict[str, EvidenceExchange] = {}
         self._now_ms = 0
         for name in _GATEWAYS:
@@ -144,7 +146,7 @@
         kind, *rest = move
         if kind == 'crash':
             name, work, instance = rest
-            self.ledgers[name].note_crash(work, instance, self._now_ms)
+            self.ledgers[name].record_crash(work, instance, self._now_ms)
         elif kind == 'restart':
             self._start(rest[0])
         elif kind == 'clear':
@@ -156,9 +158,9 @@
                 self.tell(*rest[0], is_lost=False)
 
     def tell(self, teller: str, hearer: str, *, is_lost: bool) -> None:
-        news = self._exchanges[teller].make_news(hearer, self._now_ms)
+        news = self._exchanges[teller].make_update(hearer, self._now_ms)
         if news is not None and not is_lost:
-            self._exchanges[hearer].take_news(teller, news, self._now_ms)
+            self._exchanges[hearer].apply_update(teller, news, self._now_ms)
 
     def settle(self) -> None:
         for _ in range(2 * len(_GATEWAYS)):
@@ -170,7 +172,7 @@
     def has_news(self) -> bool:
         """Tell whether any gateway has something left to say."""
         return any(
-            exchange.make_news(hearer, self._now_ms) is not None
+            exchange.make_update(hearer, self._now_ms) is not None
             for teller, exchange in self._exchanges.items()
             for hearer in _GATEWAYS
             if hearer != teller
@@ -178,7 +180,10 @@
 
     def get_verdicts(self) -> list[list[bool]]:
         return [
-            [bool(ledger.get_left_ms(work, self._now_ms)) for work in 'abc']
+            [
+                bool(ledger.get_remaining_ms(work, self._now_ms))
+                for work in 'abc'
+            ]
             for ledger in self.ledgers.values()
         ]
 
@@ -204,7 +209,7 @@
     context.ledger = _make_ledger()
     for number in range(count):
         for instance in ('i1', 'i2'):
-            context.ledger.note_crash(f'work-{number}', instance, 0)
+            context.ledger.record_crash(f'work-{number}', instance, 0)
     context.host = _make_exchange('host', context.ledger)
 
 
@@ -216,9 +221,11 @@
         context.asker = _make_ledger()
         exchange = _make_exchange(incarnation, context.asker)
         for _ in range(asked):
-            question = exchange.make_news('host', 0)
-            context.host.take_news('asker', question, 0)
-            exchange.take_news('host', context.host.make_news('asker', 0), 0)
+            question = exchange.make_update('host', 0)
+            context.host.apply_update('asker', question, 0)
+            exchange.apply_update(
+                'host', context.host.make_update('asker', 0), 0
+            )
 
 
 @then('it quarantines {count:d} requests')
@@ -228,21 +235,21 @@
 
 @given('a memory for {count:d} requests, one of which is quarantined')
 def make_small_memory(context, count):
-    context.ledger = _make_ledger(longest=count)
+    context.ledger = _make_ledger(max_records=count)
     for instance in ('i1', 'i2'):
-        context.ledger.note_crash(_WORK, instance, 0)
+        context.ledger.record_crash(_WORK, instance, 0)
 
 
 @when('{count:d} others have been running in a crash')
 def fill_memory(context, count):
     for number in range(count):
-        context.ledger.note_crash(f'other-{number}', 'i3', number)
+        context.ledger.record_crash(f'other-{number}', 'i3', number)
 
 
 @then('{count:d} are remembered, and the one is still quarantined')
 def check_memory(context, count):
     assert context.ledger.count() == count
-    assert context.ledger.get_left_ms(_WORK, count)
+    assert context.ledger.get_remaining_ms(_WORK, count)
 
 
 @when('a request loses its connection to an instance that {state}')
--- a/tests/features/steps/host_choice.py
+++ b/tests/features/steps/host_choice.py
@@ -9,7 +9,7 @@
 from ragworthollow.conf import global_settings
 from ragworthollow.membership.gateway_member import GatewayMember
 from ragworthollow.membership.gateway_members import GatewayMembers
-from ragworthollow.membership.host_capacity import measure_capacity
+from ragworthollow.membership.host_capacity import compute_capacity
 from ragworthollow.transport.host_messages import HostState, MemberChange
 from ragworthollow.utils.hashing import get_rank
 
@@ -22,7 +22,7 @@
         incarnation=name,
         peer_address='127.0.0.1:1',
         failure_domain='one',
-        capacity=measure_capacity(cores=cores, link_mbps=link_mbps),
+        capacity=compute_capacity(cores=cores, link_mbps=link_mbps),
     )
 
 
@@ -51,7 +51,7 @@
 def silence_large(context):
     for one in context.listed:
         if one.instance.startswith('large'):
-            context.members.note_silent(one.instance)
+            context.members.mark_unresponsive(one.instance)
 
 
 @when('the hosts of {count:d} pools are chosen')
@@ -89,7 +89,7 @@
     with mock.patch(_RANKED, side_effect=get_rank) as ranked:
         for _ in range(count):
             context.members.find_host('pool')
-            context.members.find_first('pool')
+            context.members.find_highest_ranked('pool')
         context.ranked = ranked.call_count
 
 
@@ -101,7 +101,7 @@
 @then('each member was ranked once more after another has joined')
 def check_ranked_again(context):
     joined = _make_member('small-new', 0.4, 20)
-    context.members.learn(MemberChange(member=joined), 0)
+    context.members.apply_change(MemberChange(member=joined), 0)
     ask_often(context, 10)
     assert context.ranked == len(context.listed) + 1, context.ranked
 
@@ -109,7 +109,7 @@
 @when('a large one says at {now_ms:d} ms that it joins')
 def join(context, now_ms):
     context.joined = _make_member('large-new', 2.2, 200)
-    context.members.learn(MemberChange(member=context.joined), now_ms)
+    context.members.apply_change(MemberChange(member=context.joined), now_ms)
 
 
 @then('it stays a member after a list of {proved_ms:d} ms that lacks it')
@@ -143,18 +143,18 @@
         members.set_pools(_POOLS)
         for other in context.listed:
             if other.instance != own.instance and is_silent(own, other):
-                members.note_silent(other.instance)
+                members.mark_unresponsive(other.instance)
 
 
 def _ask_in_turn(fleet: dict[str, GatewayMembers], span_ms: int) -> None:
     """Have each gateway ask for a while; those that stopped are gone."""
     for _ in range(span_ms // global_settings.HOST_PING_MS):
         for members in fleet.values():
-            for one in members.choose_asked():
+            for one in members.choose_ping_targets():
                 if one.instance in fleet:
-                    members.note_answer(HostState(instance=one.instance))
+                    members.record_response(HostState(instance=one.instance))
                 else:
-                    members.note_silent(one.instance)
+                    members.mark_unresponsive(one.instance)
 
 
 def _choose_by_all(fleet: dict[str, GatewayMembers]) -> list[list[str]]:
@@ -182,7 +182,7 @@
     (member,) = (one for one in context.listed if one.instance == name)
     leaving = msgspec.structs.replace(member, is_leaving=True)
     for members in context.fleet.values():
-        members.learn(MemberChange(member=leaving), 0)
+        members.apply_change(MemberChange(member=leaving), 0)
 
 
 @then('all gateways have chosen the same hosts after each stop')
--- a/tests/features/steps/lost_calls.py
+++ b/tests/features/steps/lost_calls.py
@@ -99,7 +99,7 @@
                 pools={'p': SimpleNamespace(pieces=pool.profile)},
             ),
             directory=SimpleNamespace(get_pool=lambda _: pool.instances),
-            get_budget=lambda _: SimpleNamespace(spend=lambda: True),
+            get_budget=lambda _: SimpleNamespace(withdraw=lambda: True),
             suspect=lambda one: pool.book.record_failure(one.instance, 0),
             quarantine=SimpleNamespace(get_left_ms=lambda _: 0),
         ),
@@ -276,9 +276,9 @@
     context.pool_name = next(
         name
         for name in map(str, range(100))
-        if context.members.find_first(name).instance != 'g0'
+        if context.members.find_highest_ranked(name).instance != 'g0'
     )
-    context.first = context.members.find_first(context.pool_name)
+    context.first = context.members.find_highest_ranked(context.pool_name)
     context.pings = HostPings(
         context=SimpleNamespace(),
         members=context.members,
--- a/tests/features/steps/named_limits.py
+++ b/tests/features/steps/named_limits.py
@@ -14,11 +14,11 @@
 from ragworthollow.conf import global_settings
 from ragworthollow.throttling import (
     UNLIMITED_PER_S,
-    NamedLimit,
-    NamedLimits,
-    derive_named_limits,
-    make_limit_news,
-    read_limit_news,
+    AdvertisedLimit,
+    AdvertisedLimits,
+    derive_advertised_limits,
+    make_limit_update,
+    read_limit_update,
 )
 from ragworthollow.utils import get_boottime_ms, get_monotonic_ms
 from tests.fixtures.staged import NAMES, send_staged
@@ -139,7 +139,9 @@
 @then('the limit of {name:w} is {limit}, and it is logged as {event:w}')
 def check_read(context, name, limit, event):
     gateway = context.gateway_stage.get_context()
-    named = gateway.throttle.named_limits.find(f'{name}@0', get_boottime_ms())
+    named = gateway.throttle.advertised_limits.find(
+        f'{name}@0', get_boottime_ms()
+    )
     found = None if named is None else named.requests_per_s
     assert found == (None if limit == 'none' else float(limit)), found
     counted = {
@@ -157,7 +159,7 @@
     way: str = 'ranked',
     demand: float = _DEMAND,
 ) -> list:
-    limits = derive_named_limits(limit_per_s)
+    limits = derive_advertised_limits(limit_per_s)
     instances = max(2, gateways // 4)
     fleet = Fleet(
         gateways=gateways,
@@ -212,11 +214,13 @@
     assert used >= part, used
 
 
-def _make_answer(limit_per_s: float, first: int, second: int) -> NamedLimit:
-    return NamedLimit(
+def _make_answer(
+    limit_per_s: float, first: int, second: int
+) -> AdvertisedLimit:
+    return AdvertisedLimit(
         requests_per_s=limit_per_s,
-        asked_ms=min(first, second),
-        heard_ms=max(first, second) + 1,
+        sent_ms=min(first, second),
+        received_ms=max(first, second) + 1,
     )
 
 
@@ -228,13 +232,13 @@
     @_EXAMPLES
     @given_any(st.lists(st.builds(_make_answer, _LIMITS, _MOMENT, _MOMENT)))
     def explore(answers):
-        limits = NamedLimits()
+        limits = AdvertisedLimits()
         for answer in answers:
-            limits.note('u1@0', answer)
+            limits.record('u1@0', answer)
         named = limits.find('u1@0', 0)
         believed = UNLIMITED_PER_S if named is None else named.requests_per_s
         for answer in answers:
-            is_over = any(one.asked_ms >= answer.heard_ms for one in answers)
+            is_over = any(one.sent_ms >= answer.received_ms for one in answers)
             assert believed <= answer.requests_per_s or is_over, answer
 
     explore()
@@ -242,24 +246,26 @@
 
 @then('the echo changes nothing')
 def check_echo(context):
-    limits = NamedLimits()
-    limits.note('u1@0', _make_answer(1, 1_000, 2_000))
+    limits = AdvertisedLimits()
+    limits.record('u1@0', _make_answer(1, 1_000, 2_000))
     for now_ms in range(2_100, 12_100, 500):
-        told = make_limit_news(limits.choose_told(now_ms)['u1@0'], now_ms)
-        echo = read_limit_news(told, sent_after_ms=now_ms, now_ms=now_ms + 400)
-        assert not limits.note_heard('u1@0', echo)
+        told = make_limit_update(limits.choose_to_send(now_ms)['u1@0'], now_ms)
+        echo = read_limit_update(
+            told, sent_after_ms=now_ms, now_ms=now_ms + 400
+        )
+        assert not limits.record_received('u1@0', echo)
     assert limits.find('u1@0', 12_000) == _make_answer(1, 1_000, 2_000)
 
 
 @then('each is told in turn, those that have changed first')
 def check_told(context):
-    limits = NamedLimits()
+    limits = AdvertisedLimits()
     room = global_settings.LIMITS_IN_MESSAGE
     for number in range(3 * room):
-        limits.note(f'i{number}@0', _make_answer(1, 0, 1))
+        limits.record(f'i{number}@0', _make_answer(1, 0, 1))
     now_ms = global_settings.LIMITS_TOLD_FIRST_MS + 10
-    limits.note('i0@0', _make_answer(2, now_ms - 2, now_ms - 1))
-    told = [limits.choose_told(now_ms) for _ in range(4)]
+    limits.record('i0@0', _make_answer(2, now_ms - 2, now_ms - 1))
+    told = [limits.choose_to_send(now_ms) for _ in range(4)]
     assert all('i0@0' in one and len(one) <= room for one in told)
     everyone = set().union(*told)
     assert len(everyone) == 3 * room, len(everyone)
@@ -267,9 +273,11 @@
 
 @then('it ends some time after the last answer')
 def check_end(context):
-    limits = NamedLimits()
-    limits.note('u1@0', _make_answer(1, 0, 10))
+    limits = AdvertisedLimits()
+    limits.record('u1@0', _make_answer(1, 0, 10))
     believed_ms = global_settings.NAMED_LIMIT_BELIEVED_MS
     assert limits.find('u1@0', believed_ms - 1)
     assert not limits.find('u1@0', believed_ms)
-    assert math.isclose(limits.get_left_ms(_make_answer(1, 0, 10), 0), 60_000)
+    assert math.isclose(
+        limits.get_remaining_ms(_make_answer(1, 0, 10), 0), 60_000
+    )
--- a/tests/features/steps/routing.py
+++ b/tests/features/steps/routing.py
@@ -12,11 +12,11 @@
 from ragworthollow.retries import RetryBudget
 from ragworthollow.routing import (
     PeerState,
-    choose_peer,
+    choose_instance,
     choose_subset,
     find_stragglers,
 )
-from ragworthollow.routing.choice import Wish
+from ragworthollow.routing.choice import SelectionCriteria
 
 _SPEED_MS = 10
 _STEP_MS = 20
@@ -56,7 +56,7 @@
     context.ejected = 0
     for number in range(count):
         now_ms = number * _STEP_MS
-        peer = choose_peer(context.peers, Wish(), now_ms, rng)
+        peer = choose_instance(context.peers, SelectionCriteria(), now_ms, rng)
         name = peer.instance.instance
         context.calls[name] += 1
         if name == context.failing:
@@ -112,8 +112,8 @@
     budget = RetryBudget()
     context.retries = 0
     for _ in range(2000):
-        budget.earn()
-        while budget.spend():
+        budget.deposit()
+        while budget.withdraw():
             context.retries += 1
 
 
--- a/tests/features/steps/slow_calls.py
+++ b/tests/features/steps/slow_calls.py
@@ -30,7 +30,7 @@
             directory=SimpleNamespace(
                 get_pool=lambda _: context.pool.instances,
             ),
-            get_budget=lambda _: SimpleNamespace(spend=lambda: True),
+            get_budget=lambda _: SimpleNamespace(withdraw=lambda: True),
             quarantine=SimpleNamespace(get_left_ms=lambda _: 0),
             suspect=lambda instance: context.pool.book.record_failure(
                 instance.instance,
--- a/tests/features/steps/thin_links.py
+++ b/tests/features/steps/thin_links.py
@@ -9,7 +9,7 @@
 from ragworthollow.configuration.follower import Follower
 from ragworthollow.configuration.snapshot import Snapshot
 from ragworthollow.configuration.store import ConfigurationStore
-from ragworthollow.membership import Peers
+from ragworthollow.membership import PeerDirectory
 from ragworthollow.platform import (
     InstanceEntry,
     InstanceList,
@@ -146,7 +146,7 @@
     follower = Follower(
         key_value=StoreClient(session=session, base_url=f'http://{address}'),
         store=ConfigurationStore(instance='asker'),
-        peers=Peers(
+        peers=PeerDirectory(
             instance='asker',
             failure_domain='one',
             rng=random.Random(1),
--- a/tests/features/steps/warm_up.py
+++ b/tests/features/steps/warm_up.py
@@ -16,7 +16,7 @@
     WRONG_VARIANTS,
 )
 from ragworthollow.conf import global_settings
-from ragworthollow.throttling import RateLimits, derive_limits, derive_share
+from ragworthollow.throttling import RateLimits, derive_limits, derive_quota
 from ragworthollow.utils import get_monotonic_ms
 from tests.fixtures.staged import send_staged
 from tests.fixtures.throttles import make_throttle
@@ -91,7 +91,7 @@
             burst_ratio=ratio,
             burst_slack=slack,
         )
-        share = derive_share(limits, gateways)
+        share = derive_quota(limits, gateways)
         # One request is the least that can be sent.
         most = max(1, limits.burst // 2)
         assert share.senders * share.requests <= most, (limits, share)
@@ -118,23 +118,23 @@
 @then('the longest of both times holds')
 def check_longest(context):
     warm_ups = make_throttle().warm_ups
-    warm_ups.note('i1@1', 3000)
-    warm_ups.note_entry('i1@1', 1000)
-    assert math.isclose(warm_ups.get_left_ms('i1@1', 500), 2500)
-    warm_ups.note_entry('i1@1', 4000)
-    assert math.isclose(warm_ups.get_left_ms('i1@1', 500), 3500)
-    assert not warm_ups.get_left_ms('i1@2', 500)
+    warm_ups.record('i1@1', 3000)
+    warm_ups.record_entry('i1@1', 1000)
+    assert math.isclose(warm_ups.get_remaining_ms('i1@1', 500), 2500)
+    warm_ups.record_entry('i1@1', 4000)
+    assert math.isclose(warm_ups.get_remaining_ms('i1@1', 500), 3500)
+    assert not warm_ups.get_remaining_ms('i1@2', 500)
 
 
 @then('the one that was told of last is remembered, however old it is')
 def check_remembered(context):
     warm_ups = make_throttle().warm_ups
-    warm_ups.note_entry('old@1', 0)
+    warm_ups.record_entry('old@1', 0)
     for number in range(global_settings.WARM_UPS_KEPT - 1):
-        warm_ups.note_entry(f'other@{number}', 0)
-    warm_ups.note_entry('old@1', 1000)
-    warm_ups.note_entry('new@1', 0)
-    assert warm_ups.get_left_ms('old@1', 0)
+        warm_ups.record_entry(f'other@{number}', 0)
+    warm_ups.record_entry('old@1', 1000)
+    warm_ups.record_entry('new@1', 0)
+    assert warm_ups.get_remaining_ms('old@1', 0)
 
 
 async def _configure(stage) -> None:
@@ -161,7 +161,7 @@
     await stage.wait_for(
         lambda: all(
             bool(
-                one.throttle.warm_ups.get_left_ms(
+                one.throttle.warm_ups.get_remaining_ms(
                     f'{name}@0',
                     get_monotonic_ms(),
                 ),
