--- a/measure/fleet_model/gateway.py
+++ b/measure/fleet_model/gateway.py
@@ -28,14 +28,14 @@
 )
 from ragworthollow.utils import get_monotonic_ms
 from ragworthollow_daemon.gateway.context import GatewayContext
-from ragworthollow_daemon.gateway.deferral import Deferral
-from ragworthollow_daemon.gateway.lateness import refuse_late
+from ragworthollow_daemon.gateway.deferral import DeferralQueue
+from ragworthollow_daemon.gateway.lateness import refuse_if_late
 from ragworthollow_daemon.gateway.piece_client import PieceClient
 from ragworthollow_daemon.gateway.piece_service import PieceService
 from ragworthollow_daemon.gateway.refusals import refuse
 from ragworthollow_daemon.gateway.request_job import RequestJob
-from ragworthollow_daemon.gateway.stage_way import StageWay
-from ragworthollow_daemon.gateway.stage_work import StageWork
+from ragworthollow_daemon.gateway.stage_way import LatencyEstimate
+from ragworthollow_daemon.gateway.stage_work import StageGraphRunner
 from ragworthollow_daemon.gateway.upstream_failure import UpstreamFailure
 
 ENGINES = 'engines'
@@ -74,17 +74,17 @@
         self.service = PieceService(
             context=self.context,
             send=self._send,
-            free_at=self._free_at,
+            release_at=self._free_at,
             ask=self._ask_working,
         )
         self.client = PieceClient(
             context=self.context,
             members=self.members,
             service=self.service,
-            ask=self._ask,
-            tell=self._tell,
+            send_pieces=self._ask,
+            send_release=self._tell,
         )
-        self._deferral = Deferral(
+        self._deferral = DeferralQueue(
             context=self.context,
             get_waits_ms=self.client.get_waits_ms,
         )
@@ -116,40 +116,40 @@
         job = RequestJob(
             request=None,
             body=b'',
-            terms=terms,
+            request_parameters=terms,
             route=route,
             holder=None,
             pool=ENGINES,
-            table=self.context.table,
+            route_table=self.context.table,
             waited_ms=self._usual_limits.record(route.name, time_limit_ms),
             fingerprint=terms.request_id,
             received_ms=now_ms,
             deadline_ms=now_ms + time_limit_ms,
         )
-        way = StageWay(
+        way = LatencyEstimate(
             job=job,
-            answer_ms=self.context.get_answer_time(ENGINES).estimate_ms(
-                job.terms.prompt_tokens,
+            first_event_ms=self.context.get_answer_time(ENGINES).estimate_ms(
+                job.request_parameters.prompt_tokens,
             ),
         )
-        refusal = refuse_late(job, way, self.client.get_waits_ms)
+        refusal = refuse_if_late(job, way, self.client.get_waits_ms)
         if refusal is not None:
             if not await self._deferral.wait(job, way):
                 return self._refuse(refusal)
-            way = way.begin_late()
+            way = way.as_deferred()
         engine = self.context.directory.get(self._choose_engine(job))
-        stages = StageWork(
+        stages = StageGraphRunner(
             client=self.client,
             job=job,
-            way=way,
+            estimate=way,
             failure_domain=engine.failure_domain,
         )
         try:
             return await self._run(job, stages)
         finally:
-            stages.free()
+            stages.release()
 
-    async def _run(self, job: RequestJob, stages: StageWork) -> Answer:
+    async def _run(self, job: RequestJob, stages: StageGraphRunner) -> Answer:
         try:
             async with asyncio.timeout(job.get_remaining_ms() / _MILLISECONDS):
                 made = await stages.run()
@@ -170,25 +170,29 @@
         sent_ms = get_monotonic_ms()
         reading = asyncio.get_running_loop().call_later(
             global_settings.ENGINE_INPUTS_READ_MS / _MILLISECONDS,
-            stages.free,
+            stages.release,
         )
         try:
-            await self._network.read_prompt(self.name, chosen, job.terms)
+            await self._network.read_prompt(
+                self.name, chosen, job.request_parameters
+            )
         finally:
             reading.cancel()
             record.in_flight -= 1
         self.context.get_answer_time(ENGINES).record(
-            job.terms.prompt_tokens,
+            job.request_parameters.prompt_tokens,
             get_monotonic_ms() - sent_ms,
         )
-        self._network.generate(chosen, job.terms.output_tokens)
+        self._network.generate(chosen, job.request_parameters.output_tokens)
         return Answer(is_served=True)
 
     def _choose_engine(self, job: RequestJob) -> str:
         chosen = choose_upstream(
             self.context.directory.get_pool(ENGINES),
             self.context.book,
-            UpstreamCriteria(affinity_key=job.terms.get_affinity_key()),
+            UpstreamCriteria(
+                affinity_key=job.request_parameters.get_affinity_key()
+            ),
             get_monotonic_ms(),
             self.context.rng,
         )
@@ -278,7 +282,9 @@
         if not await self._network.reach(self.name, host.instance):
             return Err('no connection')
         peer = self._network.gateways[host.instance]
-        peer.service.askers.meet(self.context.incarnation, get_monotonic_ms())
+        peer.service.requesters.record_request(
+            self.context.incarnation, get_monotonic_ms()
+        )
         found = await peer.service.run(pool, pieces)
         if not await self._network.reach(host.instance, self.name):
             return Err('connection lost')
@@ -293,7 +299,7 @@
         if not await self._network.reach(self.name, host.instance):
             return False
         peer = self._network.gateways[host.instance]
-        peer.service.free(release.pool, release.handles)
+        peer.service.release(release.pool, release.handles)
         return True
 
     async def _tick(self) -> None:
@@ -301,4 +307,4 @@
             await asyncio.sleep(global_settings.GATE_TICK_MS / _MILLISECONDS)
             await self._network.wait_awake(self.name)
             self.service.advance_all()
-            self._deferral.advance()
+            self._deferral.start_ready()
--- a/measure/fleet_model/pings.py
+++ b/measure/fleet_model/pings.py
@@ -48,14 +48,14 @@
     if not await network.reach(gateway.name, name):
         return None
     peer = network.gateways[name]
-    peer.service.askers.hear(
+    peer.service.requesters.record_ping(
         gateway.name,
         gateway.context.incarnation,
         get_monotonic_ms(),
     )
-    peer.service.get_gates().peer_announcements.record(
+    peer.service.get_schedulers().peer_announcements.record(
         gateway.name,
-        gateway.service.get_gates().announced.get_counts(),
+        gateway.service.get_schedulers().announced.get_counts(),
         get_monotonic_ms(),
     )
     state = HostState(instance=name, waits_ms=peer.service.get_waits_ms())
--- a/packages/ragworthollow-daemon/src/ragworthollow_daemon/gateway/admission.py
+++ b/packages/ragworthollow-daemon/src/ragworthollow_daemon/gateway/admission.py
@@ -82,11 +82,11 @@
             RequestJob(
                 request=request,
                 body=body_result.ok_value,
-                terms=request_parameters,
+                request_parameters=request_parameters,
                 route=route,
                 holder=holder_result.ok_value,
                 pool=self._choose_pool(route),
-                table=table,
+                route_table=table,
                 waited_ms=self._find_waited_ms(route, request_parameters),
                 fingerprint=_make_work_fingerprint(
                     request,
--- a/packages/ragworthollow-daemon/src/ragworthollow_daemon/gateway/asker_book.py
+++ b/packages/ragworthollow-daemon/src/ragworthollow_daemon/gateway/asker_book.py
@@ -11,7 +11,7 @@
     received_ms: float
 
 
-class AskerBook:
+class RequesterTracker:
     """
     Detect the termination of gateways that requested pieces.
 
@@ -24,7 +24,9 @@
     def __init__(self) -> None:
         self._requesters: dict[str, _Requester] = {}
 
-    def hear(self, instance: str, incarnation: str, now_ms: float) -> None:
+    def record_ping(
+        self, instance: str, incarnation: str, now_ms: float
+    ) -> None:
         """Record a ping and terminate earlier incarnations of the instance."""
         self._requesters[incarnation] = _Requester(
             instance=instance, received_ms=now_ms
@@ -33,14 +35,14 @@
             if requester.instance == instance and known != incarnation:
                 requester.received_ms = float('-inf')
 
-    def meet(self, incarnation: str, now_ms: float) -> None:
+    def record_request(self, incarnation: str, now_ms: float) -> None:
         """Record that a gateway requested pieces, unless it is known."""
         self._requesters.setdefault(
             incarnation,
             _Requester(instance='', received_ms=now_ms),
         )
 
-    def take_gone(self, now_ms: float) -> list[str]:
+    def pop_terminated(self, now_ms: float) -> list[str]:
         """Return terminated incarnations and remove them."""
         oldest_ms = now_ms - global_settings.ASKER_SILENT_MS
         terminated = [
--- a/packages/ragworthollow-daemon/src/ragworthollow_daemon/gateway/attempt.py
+++ b/packages/ragworthollow-daemon/src/ragworthollow_daemon/gateway/attempt.py
@@ -216,7 +216,7 @@
         metadata,
         asked_ms=sent_ms,
         is_authentic=is_verified
-        and metadata.request_id == job.terms.request_id,
+        and metadata.request_id == job.request_parameters.request_id,
     )
     failure = _classify_response(job, plan, response.status, metadata)
     if failure is None:
@@ -231,7 +231,10 @@
     status: int,
     metadata: ResponseMetadata,
 ) -> UpstreamFailure | None:
-    if metadata.request_id != job.terms.request_id and not metadata.is_not_run:
+    if (
+        metadata.request_id != job.request_parameters.request_id
+        and not metadata.is_not_run
+    ):
         return _make_status_failure(
             plan, Reason.mismatched_answer, status, Outcome.unknown
         )
--- a/packages/ragworthollow-daemon/src/ragworthollow_daemon/gateway/attempt_series.py
+++ b/packages/ragworthollow-daemon/src/ragworthollow_daemon/gateway/attempt_series.py
@@ -72,7 +72,7 @@
         self._context = context
         self._inputs = inputs
         self._throttle = PoolThrottle(context=context, pool=job.pool)
-        self._allowed_regions = job.get_homes()
+        self._allowed_regions = job.get_allowed_regions()
         self._tried_instances: set[str] = set()
         self._sent_attempts = 0
         self._may_have_run = False
@@ -90,7 +90,7 @@
             ],
             context.book,
             UpstreamCriteria(
-                affinity_key=self.job.terms.get_affinity_key(),
+                affinity_key=self.job.request_parameters.get_affinity_key(),
                 avoid=frozenset(self._tried_instances),
                 failure_domain=context.settings.failure_domain,
             ),
@@ -123,7 +123,7 @@
             invariant='attempt.single_run',
             step=_STEP,
             peer=instance.instance,
-            detail=self.job.terms.request_id,
+            detail=self.job.request_parameters.request_id,
         )
         self._tried_instances.add(instance.instance)
         self._throttle.note_sent(instance)
@@ -158,7 +158,7 @@
         self._context.book.record_success(plan.instance.instance)
         if status in _SUCCESS_STATUSES:
             self._context.quarantine.record_success(self.job.fingerprint)
-        late_ms = get_monotonic_ms() - self.job.get_goal_ms()
+        late_ms = get_monotonic_ms() - self.job.get_objective_deadline_ms()
         self._log(plan, 'answered', status=status, late_ms=round(late_ms))
 
     def record_error_response(
@@ -236,7 +236,9 @@
             return
         while self.choose_instance() is None:
             wait_ms = self._throttle.get_pool_wait_ms(self._tried_instances)
-            remaining_ms = self.job.get_goal_ms() - get_monotonic_ms()
+            remaining_ms = (
+                self.job.get_objective_deadline_ms() - get_monotonic_ms()
+            )
             if not wait_ms or wait_ms > remaining_ms:
                 return
             await asyncio.sleep(wait_ms / 1000)
@@ -323,7 +325,7 @@
         log_event(
             event,
             step=_STEP,
-            request_id=self.job.terms.request_id,
+            request_id=self.job.request_parameters.request_id,
             fingerprint=self.job.fingerprint,
             peer=plan.instance.instance,
             failure_domain=plan.instance.failure_domain,
--- a/packages/ragworthollow-daemon/src/ragworthollow_daemon/gateway/call_outcomes.py
+++ b/packages/ragworthollow-daemon/src/ragworthollow_daemon/gateway/call_outcomes.py
@@ -13,7 +13,7 @@
     WaitingPiece,
 )
 from ragworthollow.utils import get_monotonic_ms
-from ragworthollow_daemon.gateway.call_space import CallSpace
+from ragworthollow_daemon.gateway.call_space import ResultSpaceRecorder
 from ragworthollow_daemon.gateway.context import GatewayContext
 from ragworthollow_daemon.gateway.upstream_failure import UpstreamFailure
 
@@ -43,7 +43,7 @@
     ) -> None:
         self._context = context
         self._release = free
-        self._space_recorder = CallSpace(context=context)
+        self._space_recorder = ResultSpaceRecorder(context=context)
 
     def note_results(
         self,
@@ -59,7 +59,7 @@
             f'pieces/{pool}',
             now_ms - call.started_ms,
         )
-        self._space_recorder.note_results(pool, scheduler, call, results)
+        self._space_recorder.record_results(pool, scheduler, call, results)
         for waiting, piece_result in zip(call.pieces, results, strict=True):
             self._resolve(pool, scheduler, call, waiting, piece_result)
         self._log(
@@ -119,7 +119,7 @@
         """
         self._record_failed_call(pool, scheduler, call, failure)
         if failure.reason is Reason.answer_lost:
-            self._space_recorder.note_lost(pool, scheduler, call)
+            self._space_recorder.record_lost(pool, scheduler, call)
         else:
             self._context.suspect(call.instance)
         # Nothing was sent, so the retry is not charged to the retry budget.
--- a/packages/ragworthollow-daemon/src/ragworthollow_daemon/gateway/call_space.py
+++ b/packages/ragworthollow-daemon/src/ragworthollow_daemon/gateway/call_space.py
@@ -15,7 +15,7 @@
 from ragworthollow_daemon.gateway.context import GatewayContext
 
 
-class CallSpace:
+class ResultSpaceRecorder:
     """
     Record the space that the results of finished calls occupy.
 
@@ -28,7 +28,7 @@
     def __init__(self, *, context: GatewayContext) -> None:
         self._context = context
 
-    def note_results(
+    def record_results(
         self,
         pool: str,
         scheduler: PieceScheduler,
@@ -58,7 +58,7 @@
                 get_monotonic_ms() + global_settings.ROOM_RETRY_MS,
             )
 
-    def note_lost(
+    def record_lost(
         self,
         pool: str,
         scheduler: PieceScheduler,
--- a/packages/ragworthollow-daemon/src/ragworthollow_daemon/gateway/deferral.py
+++ b/packages/ragworthollow-daemon/src/ragworthollow_daemon/gateway/deferral.py
@@ -11,7 +11,7 @@
 from ragworthollow_daemon.gateway.deferral_chance import DeferralStartRate
 from ragworthollow_daemon.gateway.lateness import GetWaits
 from ragworthollow_daemon.gateway.request_job import RequestJob
-from ragworthollow_daemon.gateway.stage_way import StageWay
+from ragworthollow_daemon.gateway.stage_way import LatencyEstimate
 
 _STEP = 'deferral'
 _LEAST_URGENT = global_settings.PRIORITIES - 1
@@ -26,7 +26,7 @@
     ----------
     job : RequestJob
         The request.
-    estimate : StageWay
+    estimate : LatencyEstimate
         Estimates of the time that the request takes.
     latest_start_ms : float
         Latest start with which the response still begins before the caller
@@ -36,12 +36,12 @@
     """
 
     job: RequestJob
-    estimate: StageWay
+    estimate: LatencyEstimate
     latest_start_ms: float
     start_signal: asyncio.Future[bool]
 
 
-class Deferral:
+class DeferralQueue:
     """
     Queue requests that are served late, with otherwise unused capacity.
 
@@ -77,7 +77,7 @@
         self._last_start_ms = float('-inf')
         self._start_rate = DeferralStartRate()
 
-    async def wait(self, job: RequestJob, estimate: StageWay) -> bool:
+    async def wait(self, job: RequestJob, estimate: LatencyEstimate) -> bool:
         """
         Wait for spare capacity.
 
@@ -85,7 +85,7 @@
         ----------
         job : RequestJob
             The request.
-        estimate : StageWay
+        estimate : LatencyEstimate
             Estimates of the time that the request takes.
 
         Returns
@@ -116,7 +116,7 @@
         self._log(deferred, now_ms, may_begin=may_begin)
         return may_begin
 
-    def advance(self) -> None:
+    def start_ready(self) -> None:
         """Start a request if there is capacity; refuse expired requests."""
         now_ms = get_monotonic_ms()
         for deferred in self._queue:
@@ -140,7 +140,9 @@
             return False
         pools = {stage.pool for stage in deferred.job.route.stages}
         waits_ms = self._get_waits_ms(pools, _LEAST_URGENT)
-        late_ms = deferred.estimate.find_lateness_if_new_ms(waits_ms, now_ms)
+        late_ms = deferred.estimate.estimate_lateness_if_new_ms(
+            waits_ms, now_ms
+        )
         margin_ms = (
             deferred.job.route.objective_ms * global_settings.DEFERRAL_SPARE
         )
@@ -169,7 +171,7 @@
         log_event(
             'deferral_ended',
             step=_STEP,
-            request_id=deferred.job.terms.request_id,
+            request_id=deferred.job.request_parameters.request_id,
             route=deferred.job.route.name,
             may_begin=may_begin,
             deferred_ms=round(get_monotonic_ms() - deferred_since_ms),
--- a/packages/ragworthollow-daemon/src/ragworthollow_daemon/gateway/forwarder.py
+++ b/packages/ragworthollow-daemon/src/ragworthollow_daemon/gateway/forwarder.py
@@ -185,7 +185,7 @@
             if not is_recorded:
                 is_recorded = True
                 self._context.get_answer_time(job.pool).record(
-                    job.terms.prompt_tokens,
+                    job.request_parameters.prompt_tokens,
                     get_monotonic_ms() - sent_ms,
                 )
             on_inputs_read()
--- a/packages/ragworthollow-daemon/src/ragworthollow_daemon/gateway/front.py
+++ b/packages/ragworthollow-daemon/src/ragworthollow_daemon/gateway/front.py
@@ -25,7 +25,7 @@
 _STEP = 'front'
 
 
-class Front:
+class RequestHandler:
     """
     Admit requests, run them and record their outcomes.
 
@@ -63,9 +63,9 @@
             response.force_close()
         return response
 
-    def advance(self) -> None:
+    def start_deferred(self) -> None:
         """Start deferred requests if there is capacity for them."""
-        self._runner.deferral.advance()
+        self._runner.deferral.start_ready()
 
     async def _run_while_connected(self, job: RequestJob) -> ResponseResult:
         """Run a request; record a cancellation if the caller disconnects."""
@@ -86,10 +86,10 @@
                 step=progress.step,
                 peer=progress.peer,
                 is_started=progress.is_started,
-                request_id=job.terms.request_id,
+                request_id=job.request_parameters.request_id,
                 route=job.route.name,
                 pool=job.pool,
-                version=job.table.version,
+                version=job.route_table.version,
                 error=repr(error),
                 elapsed_ms=round(get_monotonic_ms() - job.received_ms),
             )
@@ -104,7 +104,7 @@
         log_event(
             'stream_broken',
             step=failure.step,
-            request_id=job.terms.request_id,
+            request_id=job.request_parameters.request_id,
             route=job.route.name,
             pool=job.pool,
             peer=failure.peer,
@@ -131,7 +131,9 @@
         self._context.metrics.count_request(route, outcome, reason)
         self._context.metrics.latency.record('request', elapsed_ms)
         request_parameters = (
-            read_terms(request.headers) if job is None else job.terms
+            read_terms(request.headers)
+            if job is None
+            else job.request_parameters
         )
         table = self._context.table
         log_event(
--- a/packages/ragworthollow-daemon/src/ragworthollow_daemon/gateway/gate_book.py
+++ b/packages/ragworthollow-daemon/src/ragworthollow_daemon/gateway/gate_book.py
@@ -21,7 +21,7 @@
 _STEP = 'pieces'
 
 
-class GateBook:
+class SchedulerRegistry:
     """
     Hold one scheduler for each pool whose pieces arrived here.
 
--- a/packages/ragworthollow-daemon/src/ragworthollow_daemon/gateway/gate_handover.py
+++ b/packages/ragworthollow-daemon/src/ragworthollow_daemon/gateway/gate_handover.py
@@ -16,14 +16,14 @@
 )
 from ragworthollow.utils import get_monotonic_ms
 from ragworthollow_daemon.gateway.context import GatewayContext
-from ragworthollow_daemon.gateway.gate_book import GateBook
+from ragworthollow_daemon.gateway.gate_book import SchedulerRegistry
 from ragworthollow_daemon.gateway.peer_notes import tell_peer
 
 _STEP = 'pieces'
 TRANSFER_PATH = '/v1/gates/transfer'
 
 
-class GateHandover:
+class SchedulerHandover:
     """
     Report the calls and results of a pool to its new host.
 
@@ -40,7 +40,7 @@
         Shared state of this process.
     members : GatewayMembers
         Provides the host of each pool.
-    gates : GateBook
+    schedulers : SchedulerRegistry
         Schedulers of this process.
     """
 
@@ -49,11 +49,11 @@
         *,
         context: GatewayContext,
         members: GatewayMembers,
-        gates: GateBook,
+        schedulers: SchedulerRegistry,
     ) -> None:
         self._context = context
         self._members = members
-        self._schedulers = gates
+        self._schedulers = schedulers
         self._hosted: set[str] = set()
         self._notified: set[str] = set()
 
@@ -66,7 +66,7 @@
             else:
                 self._hand_over(pool, self._schedulers.get(pool), host)
 
-    def take(self, transfer: GateTransfer) -> None:
+    def apply_transfer(self, transfer: GateTransfer) -> None:
         """Record the calls and results of another gateway for a pool."""
         now_ms = get_monotonic_ms()
         scheduler = self._schedulers.get(transfer.pool)
--- a/packages/ragworthollow-daemon/src/ragworthollow_daemon/gateway/held_results.py
+++ b/packages/ragworthollow-daemon/src/ragworthollow_daemon/gateway/held_results.py
@@ -5,7 +5,7 @@
 from ragworthollow.pieces import StoredResult
 
 
-class HeldResults:
+class ResultsInUse:
     """
     Track the results of each pool that have not been released yet.
 
@@ -35,7 +35,7 @@
         """Return the pools that have had results in use."""
         return tuple(self._in_use)
 
-    def take_for_host(
+    def collect_for_host(
         self,
         pool: str,
         host: str,
--- a/packages/ragworthollow-daemon/src/ragworthollow_daemon/gateway/lateness.py
+++ b/packages/ragworthollow-daemon/src/ragworthollow_daemon/gateway/lateness.py
@@ -5,7 +5,7 @@
 from ragworthollow.conf import global_settings
 from ragworthollow.outcomes import Outcome, Reason
 from ragworthollow_daemon.gateway.request_job import RequestJob
-from ragworthollow_daemon.gateway.stage_way import StageWay
+from ragworthollow_daemon.gateway.stage_way import LatencyEstimate
 from ragworthollow_daemon.gateway.upstream_failure import UpstreamFailure
 
 _STEP = 'front'
@@ -13,9 +13,9 @@
 GetWaits = Callable[[Iterable[str], int], Mapping[str, float]]
 
 
-def refuse_late(
+def refuse_if_late(
     job: RequestJob,
-    estimate: StageWay,
+    estimate: LatencyEstimate,
     get_waits_ms: GetWaits,
 ) -> UpstreamFailure | None:
     """
@@ -25,7 +25,7 @@
     ----------
     job : RequestJob
         The request.
-    estimate : StageWay
+    estimate : LatencyEstimate
         Estimates of the time that the request takes.
     get_waits_ms : callable
         Returns the expected waits in milliseconds by pool, given the pools
@@ -38,7 +38,7 @@
     """
     pools = {stage.pool for stage in job.route.stages}
     waits_ms = get_waits_ms(pools, job.get_priority())
-    late_ms = estimate.find_lateness_ms(waits_ms)
+    late_ms = estimate.estimate_lateness_ms(waits_ms)
     allowed_ms = _get_allowed_lateness_ms(job)
     if late_ms <= allowed_ms:
         return None
--- a/packages/ragworthollow-daemon/src/ragworthollow_daemon/gateway/peer_routes.py
+++ b/packages/ragworthollow-daemon/src/ragworthollow_daemon/gateway/peer_routes.py
@@ -32,7 +32,7 @@
 from ragworthollow_daemon.gateway.context import GatewayContext
 from ragworthollow_daemon.gateway.gate_handover import (
     TRANSFER_PATH,
-    GateHandover,
+    SchedulerHandover,
 )
 from ragworthollow_daemon.gateway.limit_notices import (
     hear_limits,
@@ -41,7 +41,7 @@
 from ragworthollow_daemon.gateway.piece_exchange import (
     FREE_PATH,
     RUN_PATH,
-    tell_released,
+    notify_released,
 )
 from ragworthollow_daemon.gateway.piece_service import PieceService
 from ragworthollow_daemon.gateway.update_client import UPDATE_PATH
@@ -61,7 +61,7 @@
         Gateways of the cluster.
     service : PieceService
         Runs pieces in the schedulers that this gateway hosts.
-    handover : GateHandover
+    handover : SchedulerHandover
         Accepts schedulers from their previous hosts.
     """
 
@@ -71,7 +71,7 @@
         context: GatewayContext,
         members: GatewayMembers,
         service: PieceService,
-        handover: GateHandover,
+        handover: SchedulerHandover,
     ) -> None:
         self._handover = handover
         self._context = context
@@ -99,8 +99,10 @@
         except msgspec.DecodeError as error:
             return respond(Problem(error=str(error)), status=_BAD_REQUEST)
         now_ms = get_monotonic_ms()
-        self._service.askers.hear(ping.instance, ping.incarnation, now_ms)
-        self._service.get_gates().peer_announcements.record(
+        self._service.requesters.record_ping(
+            ping.instance, ping.incarnation, now_ms
+        )
+        self._service.get_schedulers().peer_announcements.record(
             ping.instance,
             ping.announced,
             now_ms,
@@ -175,7 +177,7 @@
         except msgspec.DecodeError as error:
             return respond(Problem(error=str(error)), status=_BAD_REQUEST)
         now_ms = get_monotonic_ms()
-        self._service.askers.meet(order.asker, now_ms)
+        self._service.requesters.record_request(order.asker, now_ms)
         pieces = decode_pieces(order, now_ms)
         # A stopping host still finishes the pieces of its peers.
         with self._context.drain.serving():
@@ -197,7 +199,7 @@
             return respond(Problem(error=str(error)), status=_BAD_REQUEST)
         host = self._members.find_host(release.pool)
         if host is None or release.is_forwarded:
-            self._service.free(release.pool, release.handles)
+            self._service.release(release.pool, release.handles)
         else:
             self._context.spawn(self._forward(host, release))
         return web.Response()
@@ -208,8 +210,8 @@
         release: ResultsRelease,
     ) -> None:
         forwarded = msgspec.structs.replace(release, is_forwarded=True)
-        if not await tell_released(self._context, host, forwarded):
-            self._service.free(release.pool, release.handles)
+        if not await notify_released(self._context, host, forwarded):
+            self._service.release(release.pool, release.handles)
 
     async def apply_transfer(self, request: web.Request) -> web.Response:
         """Take over a scheduler's state from its previous host."""
@@ -218,5 +220,5 @@
             transfer = msgspec.json.decode(body, type=GateTransfer)
         except msgspec.DecodeError as error:
             return respond(Problem(error=str(error)), status=_BAD_REQUEST)
-        self._handover.take(transfer)
+        self._handover.apply_transfer(transfer)
         return web.Response()
--- a/packages/ragworthollow-daemon/src/ragworthollow_daemon/gateway/piece_client.py
+++ b/packages/ragworthollow-daemon/src/ragworthollow_daemon/gateway/piece_client.py
@@ -17,8 +17,8 @@
     NotifyReleased,
     PieceResults,
     RequestPieces,
-    ask_host,
-    tell_released,
+    notify_released,
+    request_pieces,
 )
 from ragworthollow_daemon.gateway.piece_service import PieceService
 from ragworthollow_daemon.gateway.result_holding import ResultUseReporter
@@ -38,9 +38,9 @@
         The other gateways.
     service : PieceService
         Schedulers hosted by this process.
-    ask : callable
+    send_pieces : callable
         Sends pieces to another gateway and returns their results.
-    tell : callable
+    send_release : callable
         Notifies another gateway of released results.
     """
 
@@ -50,11 +50,11 @@
         context: GatewayContext,
         members: GatewayMembers,
         service: PieceService,
-        ask: RequestPieces = ask_host,
-        tell: NotifyReleased = tell_released,
+        send_pieces: RequestPieces = request_pieces,
+        send_release: NotifyReleased = notify_released,
     ) -> None:
-        self._request_pieces = ask
-        self._notify_released = tell
+        self._request_pieces = send_pieces
+        self._notify_released = send_release
         self._context = context
         self._members = members
         self._service = service
@@ -93,9 +93,9 @@
         self._results_in_use.add(pool, pieces, results)
         return results
 
-    def tell_new_hosts(self) -> None:
+    def notify_new_hosts(self) -> None:
         """Report the results in use to new hosts of schedulers."""
-        self._results_in_use.tell_new_hosts()
+        self._results_in_use.notify_new_hosts()
 
     async def _run_on_host(
         self,
@@ -145,7 +145,7 @@
 
     def announce(self, pool: str, priority: int, pieces: int) -> None:
         """Announce pieces to the scheduler of a pool, or withdraw them."""
-        self._service.get_gates().announced.add(pool, priority, pieces)
+        self._service.get_schedulers().announced.add(pool, priority, pieces)
 
     def find_failure_domain(self, pool: str, handle: str) -> str:
         """Return the domain of a result; '' if its producer has terminated."""
@@ -160,7 +160,7 @@
         self._results_in_use.remove(pool, handles)
         host = self._members.find_host(pool)
         if host is None:
-            self._service.free(pool, handles)
+            self._service.release(pool, handles)
             return
         release = ResultsRelease(pool=pool, handles=tuple(handles))
         self._context.spawn(self._release_remotely(host, release))
@@ -194,7 +194,7 @@
         release: ResultsRelease,
     ) -> None:
         if not await self._notify_released(self._context, host, release):
-            self._service.free(release.pool, release.handles)
+            self._service.release(release.pool, release.handles)
 
     def _handle_response(
         self,
--- a/packages/ragworthollow-daemon/src/ragworthollow_daemon/gateway/piece_exchange.py
+++ b/packages/ragworthollow-daemon/src/ragworthollow_daemon/gateway/piece_exchange.py
@@ -33,7 +33,7 @@
 ]
 
 
-async def ask_host(
+async def request_pieces(
     context: GatewayContext,
     host: GatewayMember,
     pool: str,
@@ -81,7 +81,7 @@
     return Err(f'status {status}')
 
 
-async def tell_released(
+async def notify_released(
     context: GatewayContext,
     host: GatewayMember,
     release: ResultsRelease,
--- a/packages/ragworthollow-daemon/src/ragworthollow_daemon/gateway/piece_service.py
+++ b/packages/ragworthollow-daemon/src/ragworthollow_daemon/gateway/piece_service.py
@@ -16,12 +16,12 @@
     WaitingPiece,
 )
 from ragworthollow.utils import get_monotonic_ms
-from ragworthollow_daemon.gateway.asker_book import AskerBook
+from ragworthollow_daemon.gateway.asker_book import RequesterTracker
 from ragworthollow_daemon.gateway.call_outcomes import CallOutcomes
 from ragworthollow_daemon.gateway.call_runner import CallRunner, SendCall
 from ragworthollow_daemon.gateway.call_watch import AskWorking, ask_working
 from ragworthollow_daemon.gateway.context import GatewayContext
-from ragworthollow_daemon.gateway.gate_book import GateBook
+from ragworthollow_daemon.gateway.gate_book import SchedulerRegistry
 from ragworthollow_daemon.gateway.piece_call import send_call
 from ragworthollow_daemon.gateway.pool_throttle import PoolThrottle
 from ragworthollow_daemon.gateway.result_releases import ResultReleaser
@@ -45,7 +45,7 @@
         Shared state of this process.
     send : callable
         Sends one call and returns its results.
-    free_at : callable, optional
+    release_at : callable, optional
         Releases results at the instance that produced them.
     ask : callable
         Asks an instance whether it is processing any call.
@@ -56,14 +56,14 @@
         *,
         context: GatewayContext,
         send: SendCall = send_call,
-        free_at: ReleaseResults | None = None,
+        release_at: ReleaseResults | None = None,
         ask: AskWorking = ask_working,
     ) -> None:
         self._context = context
-        self._release_at = free_at or ResultReleaser().release
-        self._schedulers = GateBook(context=context)
-        self._outcomes = CallOutcomes(context=context, free=self.free)
-        self.askers = AskerBook()
+        self._release_at = release_at or ResultReleaser().release
+        self._schedulers = SchedulerRegistry(context=context)
+        self._outcomes = CallOutcomes(context=context, free=self.release)
+        self.requesters = RequesterTracker()
         self._calls = CallRunner(context=context, send=send, ask=ask)
 
     async def run(self, pool: str, pieces: Sequence[Piece]) -> PieceResults:
@@ -109,7 +109,7 @@
         except asyncio.CancelledError:
             # The requester has cancelled: results so far would occupy space at
             # their producers until they expire.
-            self.free(pool, _get_handles(futures))
+            self.release(pool, _get_handles(futures))
             raise
         finally:
             for waiting in submitted:
@@ -121,7 +121,7 @@
 
     def advance_all(self) -> None:
         """Advance all schedulers; cancel the work of terminated requesters."""
-        for requester in self.askers.take_gone(get_monotonic_ms()):
+        for requester in self.requesters.pop_terminated(get_monotonic_ms()):
             self._cancel_requester(requester)
         for pool in self._schedulers.get_pools():
             self.advance(pool)
@@ -171,7 +171,7 @@
             scheduler.cancel_requester(requester)
             handles = scheduler.result_space.find_handles(requester)
             released += len(handles)
-            self.free(pool, handles)
+            self.release(pool, handles)
         if released:
             log_event(
                 'asker_gone',
@@ -180,11 +180,11 @@
                 results=released,
             )
 
-    def get_gates(self) -> GateBook:
+    def get_schedulers(self) -> SchedulerRegistry:
         """Return the schedulers of this process."""
         return self._schedulers
 
-    def free(self, pool: str, handles: Sequence[str]) -> None:
+    def release(self, pool: str, handles: Sequence[str]) -> None:
         """Release results of a pool, whichever schedulers requested them."""
         by_producer: dict[str, list[str]] = {}
         for handle in handles:
--- a/packages/ragworthollow-daemon/src/ragworthollow_daemon/gateway/request_job.py
+++ b/packages/ragworthollow-daemon/src/ragworthollow_daemon/gateway/request_job.py
@@ -21,7 +21,7 @@
         The HTTP request, whose body has been read.
     body : bytes
         The complete body.
-    terms : RequestParameters
+    request_parameters : RequestParameters
         Options that the caller set in the request headers.
     route : Route
         Route that matched when the request arrived.
@@ -30,7 +30,7 @@
         none.
     pool : str
         Pool that serves the request after its stages.
-    table : RouteTable
+    route_table : RouteTable
         Configuration that applies to the request.
     waited_ms : float
         Time in milliseconds that the caller had already waited when it
@@ -44,17 +44,17 @@
 
     request: web.BaseRequest
     body: bytes
-    terms: RequestParameters
+    request_parameters: RequestParameters
     route: Route
     holder: KeyHolder | None
     pool: str
-    table: RouteTable
+    route_table: RouteTable
     waited_ms: float
     fingerprint: str
     received_ms: float
     deadline_ms: float
 
-    def get_goal_ms(self) -> float:
+    def get_objective_deadline_ms(self) -> float:
         """Return the objective deadline, counted from the first attempt."""
         return self.received_ms - self.waited_ms + self.route.objective_ms
 
@@ -64,7 +64,7 @@
 
     def get_active_stages(self) -> tuple[int, ...]:
         """Return the positions of the stages that have pieces."""
-        counts = self.terms.piece_counts
+        counts = self.request_parameters.piece_counts
         return tuple(
             position
             for position in range(len(self.route.stages))
@@ -79,7 +79,7 @@
         )
         return (*stages, self.pool)
 
-    def get_homes(self) -> AllowedRegions | None:
+    def get_allowed_regions(self) -> AllowedRegions | None:
         """Return the regions in which the request may run; None for any."""
         holder_regions = (
             None if self.holder is None else self.holder.allowed_regions
--- a/packages/ragworthollow-daemon/src/ragworthollow_daemon/gateway/request_runner.py
+++ b/packages/ragworthollow-daemon/src/ragworthollow_daemon/gateway/request_runner.py
@@ -14,14 +14,14 @@
 )
 from ragworthollow_daemon.gateway.answer_progress import AnswerProgress
 from ragworthollow_daemon.gateway.context import GatewayContext
-from ragworthollow_daemon.gateway.deferral import Deferral
+from ragworthollow_daemon.gateway.deferral import DeferralQueue
 from ragworthollow_daemon.gateway.forwarder import Forwarder
-from ragworthollow_daemon.gateway.lateness import refuse_late
+from ragworthollow_daemon.gateway.lateness import refuse_if_late
 from ragworthollow_daemon.gateway.piece_client import PieceClient
 from ragworthollow_daemon.gateway.pool_throttle import PoolThrottle
 from ragworthollow_daemon.gateway.request_job import RequestJob
-from ragworthollow_daemon.gateway.stage_way import StageWay
-from ragworthollow_daemon.gateway.stage_work import StageWork
+from ragworthollow_daemon.gateway.stage_way import LatencyEstimate
+from ragworthollow_daemon.gateway.stage_work import StageGraphRunner
 from ragworthollow_daemon.gateway.upstream_failure import UpstreamFailure
 
 _DEFERRABLE_REASONS = frozenset((Reason.overloaded, Reason.stage_late))
@@ -50,7 +50,7 @@
         self._context = context
         self._pieces = pieces
         self._forwarder = Forwarder(context=context)
-        self.deferral = Deferral(
+        self.deferral = DeferralQueue(
             context=context,
             get_waits_ms=pieces.get_waits_ms,
         )
@@ -78,26 +78,26 @@
         final_refusal = self._find_final_refusal(job)
         if final_refusal is not None:
             return Err(final_refusal)
-        estimate = StageWay(
+        estimate = LatencyEstimate(
             job=job,
-            answer_ms=self._context.get_answer_time(job.pool).estimate_ms(
-                job.terms.prompt_tokens,
+            first_event_ms=self._context.get_answer_time(job.pool).estimate_ms(
+                job.request_parameters.prompt_tokens,
             ),
         )
         refusal = self._find_refusal(job, estimate)
         while refusal is None or await self._defer(job, estimate):
             if refusal is not None:
-                estimate = estimate.begin_late()
-            stages = StageWork(
+                estimate = estimate.as_deferred()
+            stages = StageGraphRunner(
                 client=self._pieces,
                 job=job,
-                way=estimate,
+                estimate=estimate,
                 failure_domain=self._forwarder.expect_failure_domain(job),
             )
             try:
                 result = await self._run_once(job, stages, progress)
             finally:
-                stages.free()
+                stages.release()
             if not _may_be_deferred(result, stages):
                 return result
             refusal = result.err_value
@@ -137,7 +137,7 @@
 
     def _is_outside_allowed_regions(self, job: RequestJob, pool: str) -> bool:
         """Tell whether all instances of a pool are in disallowed regions."""
-        allowed_regions = job.get_homes()
+        allowed_regions = job.get_allowed_regions()
         if allowed_regions is None:
             return False
         instances = self._context.directory.get_pool(pool)
@@ -149,14 +149,14 @@
     def _find_refusal(
         self,
         job: RequestJob,
-        estimate: StageWay,
+        estimate: LatencyEstimate,
     ) -> UpstreamFailure | None:
         """Return why a request cannot start now, or None if it can."""
         if not self._context.directory.get_pool(job.pool):
             return make_refusal(Reason.no_instance, job.pool)
-        return refuse_late(job, estimate, self._pieces.get_waits_ms)
+        return refuse_if_late(job, estimate, self._pieces.get_waits_ms)
 
-    async def _defer(self, job: RequestJob, estimate: StageWay) -> bool:
+    async def _defer(self, job: RequestJob, estimate: LatencyEstimate) -> bool:
         """Wait for spare capacity; return False if none was found in time."""
         may_begin = await self._context.stop.run(
             self.deferral.wait(job, estimate),
@@ -166,7 +166,7 @@
     async def _run_once(
         self,
         job: RequestJob,
-        stages: StageWork,
+        stages: StageGraphRunner,
         progress: AnswerProgress,
     ) -> ResponseResult:
         stage_results = await self._context.stop.run(
@@ -177,7 +177,7 @@
         if isinstance(stage_results, Err):
             return stage_results
         return await self._forward(
-            job, stage_results.ok_value, stages.free, progress
+            job, stage_results.ok_value, stages.release, progress
         )
 
     async def _forward(
@@ -197,7 +197,7 @@
 
     async def _run_stages(
         self,
-        stages: StageWork,
+        stages: StageGraphRunner,
         job: RequestJob,
     ) -> Result[tuple[str, ...], UpstreamFailure]:
         try:
@@ -207,7 +207,7 @@
             return Err(make_refusal(Reason.deadline_exceeded, job.pool))
 
 
-def _may_be_deferred(result: ResponseResult, stages: StageWork) -> bool:
+def _may_be_deferred(result: ResponseResult, stages: StageGraphRunner) -> bool:
     """Tell whether stages were refused or late before any result."""
     if not isinstance(result, Err) or stages.has_produced_results:
         return False
--- a/packages/ragworthollow-daemon/src/ragworthollow_daemon/gateway/result_holding.py
+++ b/packages/ragworthollow-daemon/src/ragworthollow_daemon/gateway/result_holding.py
@@ -15,7 +15,7 @@
     TRANSFER_PATH,
     make_result_messages,
 )
-from ragworthollow_daemon.gateway.held_results import HeldResults
+from ragworthollow_daemon.gateway.held_results import ResultsInUse
 from ragworthollow_daemon.gateway.peer_notes import tell_peer
 from ragworthollow_daemon.gateway.piece_service import PieceService
 
@@ -44,7 +44,7 @@
         self._context = context
         self._members = members
         self._service = service
-        self._in_use = HeldResults()
+        self._in_use = ResultsInUse()
 
     def add(
         self,
@@ -73,13 +73,13 @@
         """Record that results are released."""
         self._in_use.remove(pool, handles)
 
-    def tell_new_hosts(self) -> None:
+    def notify_new_hosts(self) -> None:
         """Report the results in use to new hosts of schedulers."""
         now_ms = get_monotonic_ms()
         for pool in self._in_use.get_pools():
             host = self._members.find_host(pool)
             incarnation = '' if host is None else host.incarnation
-            results = self._in_use.take_for_host(pool, incarnation, now_ms)
+            results = self._in_use.collect_for_host(pool, incarnation, now_ms)
             if not results:
                 continue
             if host is None:
--- a/packages/ragworthollow-daemon/src/ragworthollow_daemon/gateway/role.py
+++ b/packages/ragworthollow-daemon/src/ragworthollow_daemon/gateway/role.py
@@ -13,8 +13,8 @@
     ConfigurationSubscriber,
 )
 from ragworthollow_daemon.gateway.context import GatewayContext
-from ragworthollow_daemon.gateway.front import Front
-from ragworthollow_daemon.gateway.gate_handover import GateHandover
+from ragworthollow_daemon.gateway.front import RequestHandler
+from ragworthollow_daemon.gateway.gate_handover import SchedulerHandover
 from ragworthollow_daemon.gateway.instances_follower import InstancesFollower
 from ragworthollow_daemon.gateway.membership import Membership
 from ragworthollow_daemon.gateway.peer_routes import PeerRoutes
@@ -61,10 +61,10 @@
             members=self.members,
             service=self.service,
         )
-        self._handover = GateHandover(
+        self._handover = SchedulerHandover(
             context=self.context,
             members=self.members,
-            gates=self.service.get_gates(),
+            schedulers=self.service.get_schedulers(),
         )
         self._quarantine_records = QuarantineRecords(context=self.context)
         self._store_poller = make_store_poller(
@@ -84,7 +84,7 @@
         self._host_pinger = make_host_pinger(
             context=self.context,
             members=self.members,
-            announced=self.service.get_gates().announced,
+            announced=self.service.get_schedulers().announced,
             follower=self._store_poller,
         )
         self._runners: list[web.BaseRunner] = []
@@ -92,7 +92,7 @@
     async def start(self) -> None:
         """Start the listeners, then the background loops."""
         readiness = Readiness(context=self.context)
-        request_handler = Front(
+        request_handler = RequestHandler(
             context=self.context,
             pieces=self._piece_client,
         )
@@ -177,13 +177,13 @@
             await runner.cleanup()
         await self.context.close()
 
-    async def _tick(self, request_handler: Front) -> None:
+    async def _tick(self, request_handler: RequestHandler) -> None:
         while True:
             await asyncio.sleep(global_settings.GATE_TICK_MS / 1000)
             self._handover.check()
-            self._piece_client.tell_new_hosts()
+            self._piece_client.notify_new_hosts()
             self.service.advance_all()
-            request_handler.advance()
+            request_handler.start_deferred()
 
     async def _serve_application(
         self,
--- a/packages/ragworthollow-daemon/src/ragworthollow_daemon/gateway/stage_way.py
+++ b/packages/ragworthollow-daemon/src/ragworthollow_daemon/gateway/stage_way.py
@@ -7,7 +7,7 @@
 from ragworthollow_daemon.gateway.request_job import RequestJob
 
 
-class StageWay:
+class LatencyEstimate:
     """
     Estimate the time from the stages of a request to its first event.
 
@@ -15,7 +15,7 @@
     ----------
     job : RequestJob
         The request.
-    answer_ms : float
+    first_event_ms : float
         Expected time in milliseconds from the end of the last stage to the
         first event of the response.
     is_deferred : bool
@@ -27,33 +27,33 @@
         self,
         *,
         job: RequestJob,
-        answer_ms: float,
+        first_event_ms: float,
         is_deferred: bool = False,
     ) -> None:
         self.active_stages = job.get_active_stages()
         self._job = job
         self._is_deferred = is_deferred
         self._stages = job.route.stages
-        self._counts = job.terms.piece_counts
-        self._first_event_ms = answer_ms
+        self._counts = job.request_parameters.piece_counts
+        self._first_event_ms = first_event_ms
 
-    def begin_late(self) -> 'StageWay':
+    def as_deferred(self) -> 'LatencyEstimate':
         """Return the estimates for the request as a deferred one."""
-        return StageWay(
+        return LatencyEstimate(
             job=self._job,
-            answer_ms=self._first_event_ms,
+            first_event_ms=self._first_event_ms,
             is_deferred=True,
         )
 
-    def find_lateness_if_new_ms(
+    def estimate_lateness_if_new_ms(
         self,
         waits_ms: Mapping[str, float],
         now_ms: float,
     ) -> float:
         """Estimate the lateness in milliseconds as if it had just arrived."""
         new_deadline_ms = now_ms + self._job.route.objective_ms
-        late_ms = self.find_lateness_ms(waits_ms)
-        return late_ms + self._job.get_goal_ms() - new_deadline_ms
+        late_ms = self.estimate_lateness_ms(waits_ms)
+        return late_ms + self._job.get_objective_deadline_ms() - new_deadline_ms
 
     def get_latest_start_ms(self) -> float:
         """Return the latest start for a response before the caller gives up."""
@@ -79,7 +79,7 @@
             if position in self._stages[consumer].after
         ]
 
-    def find_lateness_ms(self, waits_ms: Mapping[str, float]) -> float:
+    def estimate_lateness_ms(self, waits_ms: Mapping[str, float]) -> float:
         """
         Estimate by how much a request that starts now misses its objective.
 
@@ -99,14 +99,14 @@
         if stages_ms <= self._estimate_stages_ms({}):
             return float('-inf')
         answered_ms = get_monotonic_ms() + stages_ms + self._first_event_ms
-        return answered_ms - self._job.get_goal_ms()
+        return answered_ms - self._job.get_objective_deadline_ms()
 
     def get_due_ms(self, position: int) -> float:
         """Return the latest start of a stage that meets the objective."""
         remaining_ms = self._first_event_ms + self._estimate_remaining_ms(
             position
         )
-        return self._job.get_goal_ms() - remaining_ms
+        return self._job.get_objective_deadline_ms() - remaining_ms
 
     def get_give_up_ms(self, position: int) -> float:
         """
@@ -164,7 +164,7 @@
 
     def _estimate_call_ms(self, position: int) -> float:
         """Estimate the time that a call for a stage takes."""
-        pool = self._job.table.pools.get(self._stages[position].pool)
+        pool = self._job.route_table.pools.get(self._stages[position].pool)
         if pool is None or pool.pieces is None:
             return 0
         profile = pool.pieces
--- a/packages/ragworthollow-daemon/src/ragworthollow_daemon/gateway/stage_work.py
+++ b/packages/ragworthollow-daemon/src/ragworthollow_daemon/gateway/stage_work.py
@@ -9,7 +9,7 @@
 from ragworthollow.pieces.nearness import choose_local_domain
 from ragworthollow_daemon.gateway.piece_client import PieceClient
 from ragworthollow_daemon.gateway.request_job import RequestJob
-from ragworthollow_daemon.gateway.stage_way import StageWay
+from ragworthollow_daemon.gateway.stage_way import LatencyEstimate
 from ragworthollow_daemon.gateway.upstream_failure import UpstreamFailure
 
 _STEP = 'stages'
@@ -22,7 +22,7 @@
 }
 
 
-class StageWork:
+class StageGraphRunner:
     """
     Run the stage graph of one request.
 
@@ -32,7 +32,7 @@
         Client that runs pieces.
     job : RequestJob
         The request.
-    way : StageWay
+    estimate : LatencyEstimate
         Estimates of the time that the request takes.
     failure_domain : str
         Failure domain in which the request itself is expected to run.
@@ -43,15 +43,15 @@
         *,
         client: PieceClient,
         job: RequestJob,
-        way: StageWay,
+        estimate: LatencyEstimate,
         failure_domain: str,
     ) -> None:
-        self._estimate = way
+        self._estimate = estimate
         self._failure_domain = failure_domain
         self._client = client
         self._job = job
         self._handles: dict[int, tuple[str, ...]] = {}
-        self._active_stages = way.active_stages
+        self._active_stages = estimate.active_stages
         self._announced: set[int] = set()
         self.has_produced_results = False
 
@@ -84,7 +84,7 @@
                 self._withdraw(position)
         return Ok(self._collect_final_handles())
 
-    def free(self) -> None:
+    def release(self) -> None:
         """Release all results."""
         for position in tuple(self._handles):
             self._release_stage(position)
@@ -99,7 +99,7 @@
 
     def _change_announced(self, position: int, sign: int) -> None:
         stage = self._job.route.stages[position]
-        pieces = self._job.terms.piece_counts[position]
+        pieces = self._job.request_parameters.piece_counts[position]
         self._client.announce(
             stage.pool,
             self._job.get_priority(),
@@ -160,7 +160,7 @@
     ) -> dict[str, float]:
         """Sum the bytes that a stage exchanges with each failure domain."""
         stages = self._job.route.stages
-        counts = self._job.terms.piece_counts
+        counts = self._job.request_parameters.piece_counts
         weights = {
             domain: stored_bytes * counts[position]
             for domain, stored_bytes in self._sum_result_bytes(
@@ -201,14 +201,14 @@
         failure_domain: str,
     ) -> tuple[Piece, ...]:
         stage = self._job.route.stages[position]
-        counts = self._job.terms.piece_counts
+        counts = self._job.request_parameters.piece_counts
         due_ms = self._estimate.get_due_ms(position)
         return tuple(
             Piece(
-                request_id=self._job.terms.request_id,
+                request_id=self._job.request_parameters.request_id,
                 position=position,
                 number=number,
-                key='' if inputs else self._job.terms.piece_key,
+                key='' if inputs else self._job.request_parameters.piece_key,
                 inputs=inputs,
                 due_ms=due_ms,
                 give_up_ms=self._estimate.get_give_up_ms(position),
@@ -218,7 +218,7 @@
                 priority=self._job.get_priority(),
                 requester=self._client.requester,
                 fingerprint=self._job.fingerprint,
-                allowed_regions=self._job.get_homes(),
+                allowed_regions=self._job.get_allowed_regions(),
             )
             for number in range(counts[position])
         )
--- a/packages/ragworthollow-daemon/src/ragworthollow_daemon/gateway/stream_relay.py
+++ b/packages/ragworthollow-daemon/src/ragworthollow_daemon/gateway/stream_relay.py
@@ -70,7 +70,10 @@
 
     def get_last_event_id(self) -> str:
         """Return the id of the event after which to resume the stream."""
-        return self._event_buffer.last_event_id or self._job.terms.last_event_id
+        return (
+            self._event_buffer.last_event_id
+            or self._job.request_parameters.last_event_id
+        )
 
     async def start(self, upstream: ClientResponse) -> None:
         """Send the head, unless that of an earlier upstream has been sent."""
--- a/tests/features/steps/gate_hosts.py
+++ b/tests/features/steps/gate_hosts.py
@@ -128,7 +128,9 @@
 
 
 def _get_room(stage, name: str):
-    return stage.gateways[name].service.get_gates().get('stage').result_space
+    return (
+        stage.gateways[name].service.get_schedulers().get('stage').result_space
+    )
 
 
 @then('it is given up once, and the host counts it no more')
--- a/tests/features/steps/instance_entries.py
+++ b/tests/features/steps/instance_entries.py
@@ -236,7 +236,7 @@
 
     context.service = PieceService(context=gateway, send=send)
     _list_stage_instance(stage, 1000)
-    gate = context.service.get_gates().get('stage')
+    gate = context.service.get_schedulers().get('stage')
     for number in range(3):
         gate.result_space.add(
             StoredResult(
@@ -275,6 +275,6 @@
 
 @then('its space is free')
 def check_space_free(context):
-    gate = context.service.get_gates().get('stage')
+    gate = context.service.get_schedulers().get('stage')
     kept = [one.handle for one in gate.result_space.pop_all()]
     assert kept == ['h0'], kept
--- a/tests/features/steps/late_service.py
+++ b/tests/features/steps/late_service.py
@@ -15,7 +15,7 @@
 from ragworthollow.utils import use_monotonic
 from ragworthollow_daemon.gateway.admission import Admission
 from ragworthollow_daemon.gateway.context import GatewayContext
-from ragworthollow_daemon.gateway.deferral import Deferral
+from ragworthollow_daemon.gateway.deferral import DeferralQueue
 
 _SEEDS = (1, 2, 3)
 _PATTERNS = ('bursts', 'lost-gin-sync')
@@ -38,7 +38,7 @@
             metrics=Metrics(),
             directory=SimpleNamespace(get_pool=self._get_pool),
         )
-        self.deferral = Deferral(
+        self.deferral = DeferralQueue(
             context=context,
             get_waits_ms=lambda pools, _: dict.fromkeys(pools, 0),
         )
@@ -54,13 +54,13 @@
         """Defer a request, and note when and how that ended."""
         job = SimpleNamespace(
             pool='engines',
-            terms=SimpleNamespace(request_id=name),
+            request_parameters=SimpleNamespace(request_id=name),
             route=SimpleNamespace(name='r', stages=(), objective_ms=1000),
             get_priority=lambda: priority,
         )
         way = SimpleNamespace(
             get_latest_start_ms=lambda: latest_ms,
-            find_lateness_if_new_ms=self._find_lateness,
+            estimate_lateness_if_new_ms=self._find_lateness,
         )
         may_begin = await self.deferral.wait(job, way)
         self.turns[name] = (may_begin, round(self.get_ms()))
@@ -68,7 +68,7 @@
     async def advance(self, until_ms: float) -> None:
         """Let the deferral advance as a gateway does."""
         while self.get_ms() < until_ms:
-            self.deferral.advance()
+            self.deferral.start_ready()
             await asyncio.sleep(global_settings.GATE_TICK_MS / 1000)
 
     async def play(self, *deferred, until_ms: float = 6000) -> None:
--- a/tests/features/steps/lost_calls.py
+++ b/tests/features/steps/lost_calls.py
@@ -14,11 +14,11 @@
 from ragworthollow.pieces import PieceCall, StoredResult
 from ragworthollow.transport.host_messages import HostState
 from ragworthollow.utils import use_monotonic
-from ragworthollow_daemon.gateway.asker_book import AskerBook
+from ragworthollow_daemon.gateway.asker_book import RequesterTracker
 from ragworthollow_daemon.gateway.call_outcomes import CallOutcomes
 from ragworthollow_daemon.gateway.call_watch import CallWatch
 from ragworthollow_daemon.gateway.context import GatewayContext
-from ragworthollow_daemon.gateway.held_results import HeldResults
+from ragworthollow_daemon.gateway.held_results import ResultsInUse
 from ragworthollow_daemon.gateway.host_pings import HostPings
 from ragworthollow_daemon.gateway.upstream_failure import UpstreamFailure
 from tests.fixtures.piece_pool import (
@@ -143,8 +143,8 @@
 
 @given('a gateway with {count:d} results of its requests at this host')
 def make_asker(context, count):
-    context.askers = AskerBook()
-    context.askers.hear('g2', 'earlier', 0)
+    context.askers = RequesterTracker()
+    context.askers.record_ping('g2', 'earlier', 0)
     context.pool = PiecePool(1, 4)
     gate = context.pool.gate
     for number in range(count):
@@ -163,30 +163,30 @@
 
 @when('another process of its name pings this host')
 def ping_anew(context):
-    context.askers.hear('g2', 'later', 100)
+    context.askers.record_ping('g2', 'later', 100)
 
 
 @then('its results are given up and its pieces are wanted no more')
 def check_given_up(context):
-    (gone,) = context.askers.take_gone(100)
+    (gone,) = context.askers.pop_terminated(100)
     gate = context.pool.gate
     assert gate.result_space.find_handles(gone) == ('h0', 'h1')
     gate.cancel_requester(gone)
     assert not context.waiting.is_awaited
-    assert not context.askers.take_gone(100)
+    assert not context.askers.pop_terminated(100)
 
 
 @then('it counts as gone only after more than a second of silence')
 def check_silence(context):
-    assert not context.askers.take_gone(1000)
-    context.askers.hear('g2', 'earlier', 1000)
-    assert not context.askers.take_gone(2000)
-    assert context.askers.take_gone(2001) == ['earlier']
+    assert not context.askers.pop_terminated(1000)
+    context.askers.record_ping('g2', 'earlier', 1000)
+    assert not context.askers.pop_terminated(2000)
+    assert context.askers.pop_terminated(2001) == ['earlier']
 
 
 @given('results of which 2 of 3 are still held')
 def hold_results(context):
-    context.held = HeldResults()
+    context.held = ResultsInUse()
     for handle in ('a', 'b', 'c'):
         context.held.add(
             'p',
@@ -201,13 +201,13 @@
         )
     context.held.remove('p', ['b'])
     # The host that made them knows of them.
-    assert not context.held.take_for_host('p', 'host', 0)
+    assert not context.held.collect_for_host('p', 'host', 0)
 
 
 @when('the gate has another host')
 def change_host(context):
     context.told = [
-        context.held.take_for_host('p', 'next', 0) for _ in range(2)
+        context.held.collect_for_host('p', 'next', 0) for _ in range(2)
     ]
 
 
--- a/tests/features/steps/overload.py
+++ b/tests/features/steps/overload.py
@@ -27,7 +27,7 @@
 from ragworthollow.upstreams import FirstEventLatency
 from ragworthollow.utils import get_monotonic_ms
 from ragworthollow_daemon.gateway.request_job import RequestJob
-from ragworthollow_daemon.gateway.stage_way import StageWay
+from ragworthollow_daemon.gateway.stage_way import LatencyEstimate
 
 _SEEDS = (1, 2, 3)
 _JOBS = 4
@@ -187,11 +187,13 @@
     context.job = RequestJob(
         request=None,
         body=b'',
-        terms=RequestParameters(request_id='1', piece_counts=(1, 1)),
+        request_parameters=RequestParameters(
+            request_id='1', piece_counts=(1, 1)
+        ),
         route=route,
         holder=None,
         pool='engines',
-        table=RouteTable(
+        route_table=RouteTable(
             version=1,
             routes=[route],
             pools=pools,
@@ -208,8 +210,8 @@
 
 @when('the second pool tells a wait of {wait_ms:d} ms')
 def tell_wait(context, wait_ms):
-    way = StageWay(job=context.job, answer_ms=0)
-    context.late_ms = way.find_lateness_ms({'second': wait_ms})
+    way = LatencyEstimate(job=context.job, first_event_ms=0)
+    context.late_ms = way.estimate_lateness_ms({'second': wait_ms})
 
 
 @then('the request is expected to take {took_ms:d} ms')
