--- a/measure/fleet_model/gateway.py
+++ b/measure/fleet_model/gateway.py
@@ -75,7 +75,7 @@
             context=self.context,
             send=self._send,
             release_at=self._free_at,
-            ask=self._ask_working,
+            query=self._ask_working,
         )
         self.client = PieceClient(
             context=self.context,
--- a/packages/ragworthollow-daemon/src/ragworthollow_daemon/gateway/answer_notices.py
+++ b/packages/ragworthollow-daemon/src/ragworthollow_daemon/gateway/answer_notices.py
@@ -13,12 +13,12 @@
 _STEP = 'instances'
 
 
-def note_marks(
+def apply_response_metadata(
     context: GatewayContext,
     instance: UpstreamInstance,
     metadata: ResponseMetadata,
     *,
-    asked_ms: float,
+    sent_ms: float,
     is_authentic: bool = False,
 ) -> None:
     """
@@ -32,7 +32,7 @@
         Instance to which the request was sent.
     metadata : ResponseMetadata
         Metadata from the head of the response.
-    asked_ms : float
+    sent_ms : float
         When the request was sent, on CLOCK_BOOTTIME, which includes time in
         suspend.
     is_authentic : bool
@@ -59,7 +59,7 @@
         context,
         instance,
         metadata,
-        sent_ms=asked_ms,
+        sent_ms=sent_ms,
         is_authentic=is_authentic,
     )
 
@@ -74,7 +74,7 @@
     }
 
 
-def take_leaving(
+def apply_leaving(
     context: GatewayContext,
     ages_ms: Mapping[str, float],
 ) -> None:
@@ -107,7 +107,7 @@
 ) -> None:
     if not context.directory.record_leaving(instance.get_incarnation(), now_ms):
         return
-    context.quarantine.has_urgent_news.set()
+    context.quarantine.has_urgent_update.set()
     context.metrics.count_event('instance_said_leaving')
     log_event(
         'instance_said_leaving',
--- a/packages/ragworthollow-daemon/src/ragworthollow_daemon/gateway/answer_progress.py
+++ b/packages/ragworthollow-daemon/src/ragworthollow_daemon/gateway/answer_progress.py
@@ -4,7 +4,7 @@
 
 
 @dataclass(kw_only=True, slots=True)
-class AnswerProgress:
+class ResponseProgress:
     """
     Track the progress of the response to a request.
 
--- a/packages/ragworthollow-daemon/src/ragworthollow_daemon/gateway/attempt.py
+++ b/packages/ragworthollow-daemon/src/ragworthollow_daemon/gateway/attempt.py
@@ -16,7 +16,7 @@
 from ragworthollow.transport.timeouts import make_timeout
 from ragworthollow.upstreams import UpstreamInstance
 from ragworthollow.utils import get_boottime_ms, get_monotonic_ms
-from ragworthollow_daemon.gateway.answer_notices import note_marks
+from ragworthollow_daemon.gateway.answer_notices import apply_response_metadata
 from ragworthollow_daemon.gateway.context import GatewayContext
 from ragworthollow_daemon.gateway.request_job import RequestJob
 from ragworthollow_daemon.gateway.upstream_failure import UpstreamFailure
@@ -210,11 +210,11 @@
 ) -> OpenResult:
     metadata = read_marks(response.status, response.headers)
     is_verified = metadata.is_signed or metadata.is_not_run
-    note_marks(
+    apply_response_metadata(
         context,
         plan.instance,
         metadata,
-        asked_ms=sent_ms,
+        sent_ms=sent_ms,
         is_authentic=is_verified
         and metadata.request_id == job.request_parameters.request_id,
     )
--- a/packages/ragworthollow-daemon/src/ragworthollow_daemon/gateway/attempt_series.py
+++ b/packages/ragworthollow-daemon/src/ragworthollow_daemon/gateway/attempt_series.py
@@ -85,7 +85,7 @@
         return choose_upstream(
             [
                 instance
-                for instance in self._throttle.get_ready()
+                for instance in self._throttle.get_available()
                 if is_region_allowed(instance.region, self._allowed_regions)
             ],
             context.book,
@@ -126,7 +126,7 @@
             detail=self.job.request_parameters.request_id,
         )
         self._tried_instances.add(instance.instance)
-        self._throttle.note_sent(instance)
+        self._throttle.record_sent(instance)
         return Ok(
             AttemptPlan(
                 instance=instance,
@@ -260,7 +260,7 @@
         return self._make_failure(Reason.no_instance)
 
     def _find_quarantine_failure(self) -> UpstreamFailure | None:
-        remaining_ms = self._context.quarantine.get_left_ms(
+        remaining_ms = self._context.quarantine.get_remaining_ms(
             self.job.fingerprint
         )
         if not remaining_ms:
--- a/packages/ragworthollow-daemon/src/ragworthollow_daemon/gateway/call_outcomes.py
+++ b/packages/ragworthollow-daemon/src/ragworthollow_daemon/gateway/call_outcomes.py
@@ -23,7 +23,7 @@
 PieceResults = tuple[PieceResult, ...]
 
 
-class CallOutcomes:
+class CallResultHandler:
     """
     Deliver the results of calls, and retry pieces without a result.
 
@@ -31,7 +31,7 @@
     ----------
     context : GatewayContext
         State of this gateway.
-    free : callable
+    release : callable
         Releases results that nobody awaits, given a pool and their handles.
     """
 
@@ -39,13 +39,13 @@
         self,
         *,
         context: GatewayContext,
-        free: Callable[[str, Sequence[str]], None],
+        release: Callable[[str, Sequence[str]], None],
     ) -> None:
         self._context = context
-        self._release = free
+        self._release = release
         self._space_recorder = ResultSpaceRecorder(context=context)
 
-    def note_results(
+    def record_results(
         self,
         pool: str,
         scheduler: PieceScheduler,
@@ -85,7 +85,9 @@
         if duration_ms <= slow_after_ms:
             self._context.book.record_success(call.instance.instance)
 
-    async def settle(self, call: PieceCall, failure: UpstreamFailure) -> None:
+    async def wait_for_crash_check(
+        self, call: PieceCall, failure: UpstreamFailure
+    ) -> None:
         """
         Wait for the crash check of the instance of a failed call.
 
@@ -104,7 +106,7 @@
         )
         await self._context.quarantine.wait_for_crash_check(call.instance)
 
-    def note_failure(
+    def record_failure(
         self,
         pool: str,
         scheduler: PieceScheduler,
@@ -136,7 +138,7 @@
             else:
                 self._retry(pool, scheduler, call, waiting, _FAILED_RESULT)
 
-    def note_slow(
+    def record_slow_call(
         self, pool: str, scheduler: PieceScheduler, call: PieceCall
     ) -> None:
         """
@@ -216,7 +218,7 @@
         waiting.resolve(last_result)
 
     def _may_retry(self, waiting: WaitingPiece) -> bool:
-        if self._context.quarantine.get_left_ms(waiting.piece.fingerprint):
+        if self._context.quarantine.get_remaining_ms(waiting.piece.fingerprint):
             return False
         return waiting.attempts + 1 < global_settings.PIECE_ATTEMPTS
 
--- a/packages/ragworthollow-daemon/src/ragworthollow_daemon/gateway/call_runner.py
+++ b/packages/ragworthollow-daemon/src/ragworthollow_daemon/gateway/call_runner.py
@@ -7,7 +7,7 @@
 
 from ragworthollow.outcomes import Outcome, Reason
 from ragworthollow.pieces import PieceCall, PieceResult
-from ragworthollow_daemon.gateway.call_watch import AskWorking, CallWatch
+from ragworthollow_daemon.gateway.call_watch import CallMonitor, QueryIsBusy
 from ragworthollow_daemon.gateway.context import GatewayContext
 from ragworthollow_daemon.gateway.upstream_failure import UpstreamFailure
 
@@ -30,7 +30,7 @@
         State of this gateway.
     send : callable
         Sends one call and returns its results.
-    ask : callable
+    query : callable
         Queries whether an instance has any call in progress.
     """
 
@@ -39,11 +39,11 @@
         *,
         context: GatewayContext,
         send: SendCall,
-        ask: AskWorking,
+        query: QueryIsBusy,
     ) -> None:
         self._context = context
         self._send = send
-        self._monitor = CallWatch(context=context, ask=ask)
+        self._monitor = CallMonitor(context=context, query=query)
         self._responses: dict[PieceCall, asyncio.Future[CallResult]] = {}
 
     async def run(
@@ -71,7 +71,7 @@
         response = asyncio.ensure_future(self._send(self._context, call))
         self._responses[call] = response
         try:
-            is_lost = await self._monitor.follow(call, response, on_slow)
+            is_lost = await self._monitor.monitor(call, response, on_slow)
         finally:
             self._responses.pop(call)
             record.in_flight -= 1
@@ -82,7 +82,7 @@
             return _make_error(call, Reason.connection_lost)
         return response.result()
 
-    def give_up(self, instance: str) -> None:
+    def cancel_calls(self, instance: str) -> None:
         """Cancel the calls to an instance that no longer knows them."""
         for call, response in self._responses.items():
             if call.instance.instance == instance:
--- a/packages/ragworthollow-daemon/src/ragworthollow_daemon/gateway/call_watch.py
+++ b/packages/ragworthollow-daemon/src/ragworthollow_daemon/gateway/call_watch.py
@@ -14,19 +14,19 @@
 from ragworthollow.transport.timeouts import make_timeout
 from ragworthollow.upstreams import UpstreamInstance
 from ragworthollow.utils import get_boottime_ms, get_monotonic_ms
-from ragworthollow_daemon.gateway.answer_notices import note_marks
+from ragworthollow_daemon.gateway.answer_notices import apply_response_metadata
 from ragworthollow_daemon.gateway.context import GatewayContext
 from ragworthollow_daemon.gateway.pool_throttle import PoolThrottle
 
 _STEP = 'pieces'
 
-AskWorking = Callable[
+QueryIsBusy = Callable[
     [GatewayContext, UpstreamInstance],
     Coroutine[None, None, bool | None],
 ]
 
 
-async def ask_working(
+async def query_is_busy(
     context: GatewayContext,
     instance: UpstreamInstance,
 ) -> bool | None:
@@ -49,7 +49,7 @@
         pool=instance.pool,
         is_only_sender=True,
     )
-    if not throttle.claim(instance):
+    if not throttle.try_acquire(instance):
         return None
     sent_ms = get_boottime_ms()
     try:
@@ -60,11 +60,11 @@
                 global_settings.UPSTREAM_CONNECT_TIMEOUT_MS,
             ),
         ) as response:
-            note_marks(
+            apply_response_metadata(
                 context,
                 instance,
                 read_marks(response.status, response.headers),
-                asked_ms=sent_ms,
+                sent_ms=sent_ms,
             )
             return decode_working(await response.read())
     except (
@@ -83,7 +83,7 @@
         return None
 
 
-class CallWatch:
+class CallMonitor:
     """
     Determine whether an overdue call is slow or its response was lost.
 
@@ -96,7 +96,7 @@
     ----------
     context : GatewayContext
         State of this gateway.
-    ask : callable
+    query : callable
         Queries whether an instance has any call in progress.
     """
 
@@ -104,12 +104,12 @@
         self,
         *,
         context: GatewayContext,
-        ask: AskWorking = ask_working,
+        query: QueryIsBusy = query_is_busy,
     ) -> None:
         self._context = context
-        self._query = ask
+        self._query = query
 
-    async def follow(
+    async def monitor(
         self,
         call: PieceCall,
         response: asyncio.Future,
--- a/packages/ragworthollow-daemon/src/ragworthollow_daemon/gateway/context.py
+++ b/packages/ragworthollow-daemon/src/ragworthollow_daemon/gateway/context.py
@@ -134,9 +134,9 @@
         """Activate a route table."""
         self.table = table
         self._table_came.set()
-        if not self._quarantine.has_asked:
+        if not self._quarantine.has_polled_peers:
             # The peers to exchange quarantine data with are now known.
-            self._quarantine.has_urgent_news.set()
+            self._quarantine.has_urgent_update.set()
 
     async def wait_table(self, timeout_ms: float) -> None:
         """Wait for the first route table, at most `timeout_ms`."""
--- a/packages/ragworthollow-daemon/src/ragworthollow_daemon/gateway/crash_watch.py
+++ b/packages/ragworthollow-daemon/src/ragworthollow_daemon/gateway/crash_watch.py
@@ -15,7 +15,7 @@
 Spawn = Callable[[Coroutine[None, None, None]], asyncio.Task[None]]
 
 
-class CrashWatch:
+class CrashDetector:
     """
     Report which requests were running on an instance when it crashed.
 
@@ -54,7 +54,7 @@
         self._probes: dict[str, asyncio.Task[None]] = {}
         self._crash_times_ms: dict[str, float] = {}
 
-    def note_break(
+    def record_connection_loss(
         self,
         instance: UpstreamInstance,
         fingerprints: Iterable[str],
@@ -82,7 +82,7 @@
         if incarnation not in self._probes:
             self._probes[incarnation] = self._spawn(self._probe(instance))
 
-    async def settle(self, instance: UpstreamInstance) -> None:
+    async def wait_for_crash_check(self, instance: UpstreamInstance) -> None:
         """Wait until the running check of an instance, if any, has ended."""
         probe = self._probes.get(instance.get_incarnation())
         if probe is not None:
--- a/packages/ragworthollow-daemon/src/ragworthollow_daemon/gateway/forwarder.py
+++ b/packages/ragworthollow-daemon/src/ragworthollow_daemon/gateway/forwarder.py
@@ -9,7 +9,7 @@
 from ragworthollow.conf import global_settings
 from ragworthollow.outcomes import Outcome, Reason
 from ragworthollow.utils import get_monotonic_ms
-from ragworthollow_daemon.gateway.answer_progress import AnswerProgress
+from ragworthollow_daemon.gateway.answer_progress import ResponseProgress
 from ragworthollow_daemon.gateway.attempt import (
     AttemptPlan,
     OpenResult,
@@ -45,7 +45,7 @@
     def __init__(self, *, context: GatewayContext) -> None:
         self._context = context
 
-    def expect_failure_domain(self, job: RequestJob) -> str:
+    def predict_failure_domain(self, job: RequestJob) -> str:
         """Return the failure domain for a request now; empty if no instance."""
         series = AttemptSeries(context=self._context, job=job, inputs=())
         instance = series.choose_instance()
@@ -56,7 +56,7 @@
         job: RequestJob,
         inputs: tuple[str, ...],
         on_inputs_read: Callable[[], None],
-        progress: AnswerProgress,
+        progress: ResponseProgress,
     ) -> ForwardResult:
         """
         Forward a request and return the response to its caller.
@@ -70,7 +70,7 @@
         on_inputs_read : callable
             Called when the upstream should have read the inputs; may be called
             more than once.
-        progress : AnswerProgress
+        progress : ResponseProgress
             Updated with the current attempt and the start of the response.
 
         Returns
@@ -88,7 +88,7 @@
     async def _fetch(
         self,
         series: AttemptSeries,
-        progress: AnswerProgress,
+        progress: ResponseProgress,
     ) -> ForwardResult:
         job = series.job
         while True:
@@ -114,7 +114,7 @@
         self,
         series: AttemptSeries,
         on_inputs_read: Callable[[], None],
-        progress: AnswerProgress,
+        progress: ResponseProgress,
     ) -> ForwardResult:
         relay = StreamRelay(
             job=series.job,
--- a/packages/ragworthollow-daemon/src/ragworthollow_daemon/gateway/front.py
+++ b/packages/ragworthollow-daemon/src/ragworthollow_daemon/gateway/front.py
@@ -10,7 +10,7 @@
 from ragworthollow.platform.request_wire import read_terms
 from ragworthollow.utils import get_boottime_ms, get_monotonic_ms
 from ragworthollow_daemon.gateway.admission import Admission
-from ragworthollow_daemon.gateway.answer_progress import AnswerProgress
+from ragworthollow_daemon.gateway.answer_progress import ResponseProgress
 from ragworthollow_daemon.gateway.context import GatewayContext
 from ragworthollow_daemon.gateway.piece_client import PieceClient
 from ragworthollow_daemon.gateway.refusals import refuse
@@ -19,7 +19,7 @@
     RequestRunner,
     ResponseResult,
 )
-from ragworthollow_daemon.gateway.stream_relay import StreamBroken
+from ragworthollow_daemon.gateway.stream_relay import StreamAborted
 from ragworthollow_daemon.gateway.upstream_failure import UpstreamFailure
 
 _STEP = 'front'
@@ -69,10 +69,10 @@
 
     async def _run_while_connected(self, job: RequestJob) -> ResponseResult:
         """Run a request; record a cancellation if the caller disconnects."""
-        progress = AnswerProgress(step='stages', peer=job.pool)
+        progress = ResponseProgress(step='stages', peer=job.pool)
         try:
             return await self._runner.run(job, progress)
-        except StreamBroken as aborted:
+        except StreamAborted as aborted:
             self._record_aborted_stream(job, aborted.failure)
             return Ok(aborted.response)
         except (asyncio.CancelledError, ConnectionError) as error:
--- a/packages/ragworthollow-daemon/src/ragworthollow_daemon/gateway/host_pings.py
+++ b/packages/ragworthollow-daemon/src/ragworthollow_daemon/gateway/host_pings.py
@@ -21,19 +21,19 @@
 from ragworthollow.transport.timeouts import make_timeout
 from ragworthollow.utils import get_boottime_ms
 from ragworthollow_daemon.gateway.answer_notices import (
+    apply_leaving,
     get_leaving_ages_ms,
-    take_leaving,
 )
 from ragworthollow_daemon.gateway.context import GatewayContext
 from ragworthollow_daemon.gateway.limit_notices import (
-    hear_limits,
-    tell_limits,
+    apply_limit_updates,
+    make_limit_updates,
 )
 
 _STEP = 'membership'
 
 
-class HostPings:
+class HostPinger:
     """
     Check directly whether the hosts of schedulers are alive.
 
@@ -48,7 +48,7 @@
         Known gateways.
     announced : AnnouncedWork
         Expected work to report to the hosts.
-    take_news : callable
+    apply_update : callable
         Applies the store update of a host, given with the time at which the
         ping was sent.
     """
@@ -59,25 +59,25 @@
         context: GatewayContext,
         members: GatewayMembers,
         announced: AnnouncedWork,
-        take_news: Callable[[StoreNews, float], bool],
+        apply_update: Callable[[StoreNews, float], bool],
     ) -> None:
         self._context = context
         self._members = members
         self._announced = announced
-        self._apply_store_update = take_news
+        self._apply_store_update = apply_update
 
     async def run(self) -> None:
         """Ping the hosts of schedulers until cancelled."""
         while True:
             with contextlib.suppress(TimeoutError):
                 async with asyncio.timeout(global_settings.HOST_PING_MS / 1000):
-                    await self._context.quarantine.has_urgent_news.wait()
-            self._context.quarantine.has_urgent_news.clear()
+                    await self._context.quarantine.has_urgent_update.wait()
+            self._context.quarantine.has_urgent_update.clear()
             await asyncio.gather(*map(self._ping, self._choose_ping_targets()))
             if self._context.table is not None:
                 # Set even if no host responds: there is then no peer to get
                 # evidence from.
-                self._context.quarantine.has_asked = True
+                self._context.quarantine.has_polled_peers = True
 
     def _choose_ping_targets(self) -> list[GatewayMember]:
         """Choose the gateways to ping; none before there is a route table."""
@@ -95,9 +95,9 @@
             announced=self._announced.get_counts(),
             store_revision=self._context.replica.view.revision,
             store_timeline=self._context.replica.view.timeline,
-            evidence=self._context.quarantine.make_news(host.instance),
+            evidence=self._context.quarantine.make_update(host.instance),
             leaving_ages_ms=get_leaving_ages_ms(self._context),
-            named_limits=tell_limits(self._context),
+            named_limits=make_limit_updates(self._context),
         )
         sent_ms = get_boottime_ms()
         try:
@@ -123,16 +123,16 @@
             return
         if state.instance == host.instance:
             self._apply_updates(state, sent_ms)
-        self.take_state(host, state)
+        self.apply_state(host, state)
 
     def _apply_updates(self, state: HostState, sent_ms: float) -> None:
         if state.store is not None:
             self._apply_store_update(state.store, sent_ms)
-        self._context.quarantine.take_news(state.instance, state.evidence)
-        take_leaving(self._context, state.leaving_ages_ms)
-        hear_limits(self._context, state.named_limits, sent_ms)
+        self._context.quarantine.apply_update(state.instance, state.evidence)
+        apply_leaving(self._context, state.leaving_ages_ms)
+        apply_limit_updates(self._context, state.named_limits, sent_ms)
 
-    def take_state(self, host: GatewayMember, state: HostState) -> None:
+    def apply_state(self, host: GatewayMember, state: HostState) -> None:
         """
         Apply the response to a ping.
 
--- a/packages/ragworthollow-daemon/src/ragworthollow_daemon/gateway/limit_notices.py
+++ b/packages/ragworthollow-daemon/src/ragworthollow_daemon/gateway/limit_notices.py
@@ -58,7 +58,7 @@
     _record_advertised(context, instance, advertised)
 
 
-def tell_limits(context: GatewayContext) -> dict[str, LimitUpdate]:
+def make_limit_updates(context: GatewayContext) -> dict[str, LimitUpdate]:
     """Return the limit updates to send to another gateway now."""
     now_ms = get_boottime_ms()
     chosen = context.throttle.advertised_limits.choose_to_send(now_ms)
@@ -68,7 +68,7 @@
     }
 
 
-def hear_limits(
+def apply_limit_updates(
     context: GatewayContext,
     updates: Mapping[str, LimitUpdate],
     sent_after_ms: float,
--- a/packages/ragworthollow-daemon/src/ragworthollow_daemon/gateway/peer_routes.py
+++ b/packages/ragworthollow-daemon/src/ragworthollow_daemon/gateway/peer_routes.py
@@ -26,8 +26,8 @@
 from ragworthollow.transport.responses import Problem, respond
 from ragworthollow.utils import get_boottime_ms, get_monotonic_ms
 from ragworthollow_daemon.gateway.answer_notices import (
+    apply_leaving,
     get_leaving_ages_ms,
-    take_leaving,
 )
 from ragworthollow_daemon.gateway.context import GatewayContext
 from ragworthollow_daemon.gateway.gate_handover import (
@@ -35,8 +35,8 @@
     SchedulerHandover,
 )
 from ragworthollow_daemon.gateway.limit_notices import (
-    hear_limits,
-    tell_limits,
+    apply_limit_updates,
+    make_limit_updates,
 )
 from ragworthollow_daemon.gateway.piece_exchange import (
     FREE_PATH,
@@ -108,9 +108,9 @@
             now_ms,
         )
         quarantine = self._context.quarantine
-        quarantine.take_news(ping.instance, ping.evidence)
-        take_leaving(self._context, ping.leaving_ages_ms)
-        hear_limits(
+        quarantine.apply_update(ping.instance, ping.evidence)
+        apply_leaving(self._context, ping.leaving_ages_ms)
+        apply_limit_updates(
             self._context,
             ping.named_limits,
             get_boottime_ms() - global_settings.HOST_PING_TIMEOUT_MS,
@@ -129,9 +129,9 @@
                     now_ms=get_boottime_ms(),
                     longest_bytes=global_settings.NEWS_BYTES,
                 ),
-                evidence=quarantine.make_news(ping.instance),
+                evidence=quarantine.make_update(ping.instance),
                 leaving_ages_ms=get_leaving_ages_ms(self._context),
-                named_limits=tell_limits(self._context),
+                named_limits=make_limit_updates(self._context),
             ),
         )
 
--- a/packages/ragworthollow-daemon/src/ragworthollow_daemon/gateway/piece_call.py
+++ b/packages/ragworthollow-daemon/src/ragworthollow_daemon/gateway/piece_call.py
@@ -16,7 +16,7 @@
 )
 from ragworthollow.transport.timeouts import make_timeout
 from ragworthollow.utils import get_boottime_ms, get_monotonic_ms
-from ragworthollow_daemon.gateway.answer_notices import note_marks
+from ragworthollow_daemon.gateway.answer_notices import apply_response_metadata
 from ragworthollow_daemon.gateway.context import GatewayContext
 from ragworthollow_daemon.gateway.upstream_failure import UpstreamFailure
 
@@ -83,11 +83,11 @@
     sent_ms: float,
 ) -> Result[PieceResults, UpstreamFailure]:
     metadata = read_marks(response.status, response.headers)
-    note_marks(
+    apply_response_metadata(
         context,
         call.instance,
         metadata,
-        asked_ms=sent_ms,
+        sent_ms=sent_ms,
         is_authentic=metadata.is_not_run or response.status == _OK,
     )
     if metadata.is_not_run:
--- a/packages/ragworthollow-daemon/src/ragworthollow_daemon/gateway/piece_service.py
+++ b/packages/ragworthollow-daemon/src/ragworthollow_daemon/gateway/piece_service.py
@@ -17,9 +17,9 @@
 )
 from ragworthollow.utils import get_monotonic_ms
 from ragworthollow_daemon.gateway.asker_book import RequesterTracker
-from ragworthollow_daemon.gateway.call_outcomes import CallOutcomes
+from ragworthollow_daemon.gateway.call_outcomes import CallResultHandler
 from ragworthollow_daemon.gateway.call_runner import CallRunner, SendCall
-from ragworthollow_daemon.gateway.call_watch import AskWorking, ask_working
+from ragworthollow_daemon.gateway.call_watch import QueryIsBusy, query_is_busy
 from ragworthollow_daemon.gateway.context import GatewayContext
 from ragworthollow_daemon.gateway.gate_book import SchedulerRegistry
 from ragworthollow_daemon.gateway.piece_call import send_call
@@ -47,7 +47,7 @@
         Sends one call and returns its results.
     release_at : callable, optional
         Releases results at the instance that produced them.
-    ask : callable
+    query : callable
         Asks an instance whether it is processing any call.
     """
 
@@ -57,14 +57,16 @@
         context: GatewayContext,
         send: SendCall = send_call,
         release_at: ReleaseResults | None = None,
-        ask: AskWorking = ask_working,
+        query: QueryIsBusy = query_is_busy,
     ) -> None:
         self._context = context
         self._release_at = release_at or ResultReleaser().release
         self._schedulers = SchedulerRegistry(context=context)
-        self._outcomes = CallOutcomes(context=context, free=self.release)
+        self._outcomes = CallResultHandler(
+            context=context, release=self.release
+        )
         self.requesters = RequesterTracker()
-        self._calls = CallRunner(context=context, send=send, ask=ask)
+        self._calls = CallRunner(context=context, send=send, query=query)
 
     async def run(self, pool: str, pieces: Sequence[Piece]) -> PieceResults:
         """
@@ -141,12 +143,12 @@
         )
         calls = scheduler.plan(
             profile,
-            throttle.get_ready(),
+            throttle.get_available(),
             self._context.book,
             get_monotonic_ms(),
         )
         for call in calls:
-            throttle.note_sent(call.instance)
+            throttle.record_sent(call.instance)
             self._context.spawn(self._run_call(pool, scheduler, call))
 
     def add_stored_results(
@@ -210,7 +212,7 @@
         stay idle.
         """
         self._schedulers.forget_instance(instance)
-        self._calls.give_up(instance)
+        self._calls.cancel_calls(instance)
 
     def _handle_slow_call(
         self,
@@ -218,7 +220,7 @@
         scheduler: PieceScheduler,
         call: PieceCall,
     ) -> None:
-        self._outcomes.note_slow(pool, scheduler, call)
+        self._outcomes.record_slow_call(pool, scheduler, call)
         self.advance(pool)
 
     async def _run_call(
@@ -240,17 +242,17 @@
             on_slow=lambda: self._handle_slow_call(pool, scheduler, call),
         )
         if isinstance(response, Err):
-            await self._outcomes.settle(call, response.err_value)
+            await self._outcomes.wait_for_crash_check(call, response.err_value)
         scheduler.finish(call)
         if isinstance(response, Err):
-            self._outcomes.note_failure(
+            self._outcomes.record_failure(
                 pool,
                 scheduler,
                 call,
                 response.err_value,
             )
         else:
-            self._outcomes.note_results(
+            self._outcomes.record_results(
                 pool,
                 scheduler,
                 call,
--- a/packages/ragworthollow-daemon/src/ragworthollow_daemon/gateway/pool_throttle.py
+++ b/packages/ragworthollow-daemon/src/ragworthollow_daemon/gateway/pool_throttle.py
@@ -60,7 +60,7 @@
         limits = self._warm_up_limits
         return None if limits is None else limits.burst
 
-    def get_ready(self) -> Sequence[UpstreamInstance]:
+    def get_available(self) -> Sequence[UpstreamInstance]:
         """Return the instances that may get a request now."""
         instances = self._context.directory.get_pool(self._pool)
         if not self._context.throttle.is_needed():
@@ -129,14 +129,14 @@
             retry_after_ms=min(wait_ms, global_settings.NAMED_LIMIT_WINDOW_MS),
         )
 
-    def claim(self, instance: UpstreamInstance) -> bool:
+    def try_acquire(self, instance: UpstreamInstance) -> bool:
         """Return whether an instance may get a message now; record it if so."""
         if self.get_wait_ms(instance):
             return False
-        self.note_sent(instance)
+        self.record_sent(instance)
         return True
 
-    def note_sent(self, instance: UpstreamInstance) -> None:
+    def record_sent(self, instance: UpstreamInstance) -> None:
         """Record that a request is sent to an instance now."""
         if self._context.throttle.is_needed():
             self._context.throttle.record_sent(
--- a/packages/ragworthollow-daemon/src/ragworthollow_daemon/gateway/quarantine.py
+++ b/packages/ragworthollow-daemon/src/ragworthollow_daemon/gateway/quarantine.py
@@ -19,7 +19,7 @@
 from ragworthollow.quarantine.operator_messages import QuarantinedRequest
 from ragworthollow.upstreams import Directory, UpstreamInstance
 from ragworthollow.utils import get_boottime_ms
-from ragworthollow_daemon.gateway.crash_watch import CrashWatch, Spawn
+from ragworthollow_daemon.gateway.crash_watch import CrashDetector, Spawn
 
 _STEP = 'quarantine'
 
@@ -66,7 +66,7 @@
             registry=self._registry,
             on_quarantine=self._record_quarantine,
         )
-        self._crash_detector = CrashWatch(
+        self._crash_detector = CrashDetector(
             directory=directory,
             metrics=metrics,
             spawn=spawn,
@@ -75,10 +75,10 @@
         # Fingerprints that this process has quarantined or cleared.
         self.changed_decisions: asyncio.Queue[str] = asyncio.Queue()
         # Set when other gateways should be notified without delay.
-        self.has_urgent_news = asyncio.Event()
-        self.has_asked = False
+        self.has_urgent_update = asyncio.Event()
+        self.has_polled_peers = False
 
-    def get_left_ms(self, fingerprint: str) -> float:
+    def get_remaining_ms(self, fingerprint: str) -> float:
         """Return how long a request stays quarantined; 0 if it is not."""
         return self._registry.get_remaining_ms(fingerprint, get_boottime_ms())
 
@@ -100,11 +100,11 @@
         fingerprints: Iterable[str],
     ) -> None:
         """Record that a connection with running requests was lost."""
-        self._crash_detector.note_break(instance, fingerprints)
+        self._crash_detector.record_connection_loss(instance, fingerprints)
 
     async def wait_for_crash_check(self, instance: UpstreamInstance) -> None:
         """Wait until the running check of an instance, if any, has ended."""
-        await self._crash_detector.settle(instance)
+        await self._crash_detector.wait_for_crash_check(instance)
 
     def record_success(self, fingerprint: str) -> None:
         """Clear all evidence against a request that succeeded."""
@@ -119,14 +119,14 @@
         bool
             Whether there was any.
         """
-        self.has_urgent_news.set()
+        self.has_urgent_update.set()
         return self._clear(fingerprint, 'request_released')
 
-    def make_news(self, peer: str) -> EvidenceUpdate | None:
+    def make_update(self, peer: str) -> EvidenceUpdate | None:
         """Make the update another gateway has yet to receive, or None."""
         return self._exchange.make_update(peer, get_boottime_ms())
 
-    def take_news(self, peer: str, update: EvidenceUpdate | None) -> None:
+    def apply_update(self, peer: str, update: EvidenceUpdate | None) -> None:
         """Apply the update of another gateway, if there is one."""
         if update is not None:
             self._exchange.apply_update(peer, update, get_boottime_ms())
@@ -147,14 +147,14 @@
 
     def _record_crash(self, incarnation: str, running: Iterable[str]) -> None:
         now_ms = get_boottime_ms()
-        self.has_urgent_news.set()
+        self.has_urgent_update.set()
         for fingerprint in running:
             if self._registry.record_crash(fingerprint, incarnation, now_ms):
                 self._record_quarantine(fingerprint)
                 self.changed_decisions.put_nowait(fingerprint)
 
     def _clear(self, fingerprint: str, event: str) -> bool:
-        is_quarantined = self.get_left_ms(fingerprint) > 0
+        is_quarantined = self.get_remaining_ms(fingerprint) > 0
         has_evidence = self._registry.clear(fingerprint, get_boottime_ms())
         if is_quarantined:
             self.changed_decisions.put_nowait(fingerprint)
@@ -176,5 +176,5 @@
             step=_STEP,
             fingerprint=fingerprint,
             crashes=self._list_crashes(fingerprint),
-            left_ms=round(self.get_left_ms(fingerprint)),
+            left_ms=round(self.get_remaining_ms(fingerprint)),
         )
--- a/packages/ragworthollow-daemon/src/ragworthollow_daemon/gateway/readiness.py
+++ b/packages/ragworthollow-daemon/src/ragworthollow_daemon/gateway/readiness.py
@@ -25,7 +25,9 @@
     def is_ready(self) -> bool:
         """Return whether requests can be served now."""
         context = self._context
-        has_state = context.table is not None and context.quarantine.has_asked
+        has_state = (
+            context.table is not None and context.quarantine.has_polled_peers
+        )
         return has_state and not context.drain.is_draining
 
     async def handle(self, request: web.BaseRequest) -> web.StreamResponse:
--- a/packages/ragworthollow-daemon/src/ragworthollow_daemon/gateway/request_runner.py
+++ b/packages/ragworthollow-daemon/src/ragworthollow_daemon/gateway/request_runner.py
@@ -12,7 +12,7 @@
     make_refusal,
     make_shutdown_failure,
 )
-from ragworthollow_daemon.gateway.answer_progress import AnswerProgress
+from ragworthollow_daemon.gateway.answer_progress import ResponseProgress
 from ragworthollow_daemon.gateway.context import GatewayContext
 from ragworthollow_daemon.gateway.deferral import DeferralQueue
 from ragworthollow_daemon.gateway.forwarder import Forwarder
@@ -58,7 +58,7 @@
     async def run(
         self,
         job: RequestJob,
-        progress: AnswerProgress,
+        progress: ResponseProgress,
     ) -> ResponseResult:
         """
         Serve a request, deferring it if it cannot meet its objective.
@@ -67,7 +67,7 @@
         ----------
         job : RequestJob
             The request.
-        progress : AnswerProgress
+        progress : ResponseProgress
             Records the progress of the response.
 
         Returns
@@ -92,7 +92,7 @@
                 client=self._pieces,
                 job=job,
                 estimate=estimate,
-                failure_domain=self._forwarder.expect_failure_domain(job),
+                failure_domain=self._forwarder.predict_failure_domain(job),
             )
             try:
                 result = await self._run_once(job, stages, progress)
@@ -105,7 +105,9 @@
 
     def _find_final_refusal(self, job: RequestJob) -> UpstreamFailure | None:
         """Return a refusal that deferral could not avoid, or None."""
-        remaining_ms = self._context.quarantine.get_left_ms(job.fingerprint)
+        remaining_ms = self._context.quarantine.get_remaining_ms(
+            job.fingerprint
+        )
         if remaining_ms:
             return make_refusal(
                 Reason.quarantined,
@@ -167,7 +169,7 @@
         self,
         job: RequestJob,
         stages: StageGraphRunner,
-        progress: AnswerProgress,
+        progress: ResponseProgress,
     ) -> ResponseResult:
         stage_results = await self._context.stop.run(
             self._run_stages(stages, job)
@@ -185,7 +187,7 @@
         job: RequestJob,
         inputs: tuple[str, ...],
         on_inputs_read: Callable[[], None],
-        progress: AnswerProgress,
+        progress: ResponseProgress,
     ) -> ResponseResult:
         result = await self._context.stop.run(
             self._forwarder.forward(job, inputs, on_inputs_read, progress),
--- a/packages/ragworthollow-daemon/src/ragworthollow_daemon/gateway/result_releases.py
+++ b/packages/ragworthollow-daemon/src/ragworthollow_daemon/gateway/result_releases.py
@@ -15,7 +15,7 @@
 from ragworthollow.transport.timeouts import make_timeout
 from ragworthollow.upstreams import UpstreamInstance
 from ragworthollow.utils import get_boottime_ms
-from ragworthollow_daemon.gateway.answer_notices import note_marks
+from ragworthollow_daemon.gateway.answer_notices import apply_response_metadata
 from ragworthollow_daemon.gateway.context import GatewayContext
 from ragworthollow_daemon.gateway.pool_throttle import PoolThrottle
 
@@ -84,7 +84,7 @@
             pool=instance.pool,
             is_only_sender=True,
         )
-        if throttle.claim(instance):
+        if throttle.try_acquire(instance):
             return instance
         await asyncio.sleep(throttle.get_wait_ms(instance) / _MILLISECONDS)
 
@@ -108,11 +108,11 @@
                 global_settings.UPSTREAM_CONNECT_TIMEOUT_MS,
             ),
         ) as response:
-            note_marks(
+            apply_response_metadata(
                 context,
                 instance,
                 read_marks(response.status, response.headers),
-                asked_ms=sent_ms,
+                sent_ms=sent_ms,
             )
             await response.read()
     except (TimeoutError, aiohttp.ClientError, OSError) as error:
--- a/packages/ragworthollow-daemon/src/ragworthollow_daemon/gateway/store_poller_factory.py
+++ b/packages/ragworthollow-daemon/src/ragworthollow_daemon/gateway/store_poller_factory.py
@@ -7,7 +7,7 @@
 from ragworthollow.pieces import AnnouncedWork
 from ragworthollow.replica import derive_paces
 from ragworthollow_daemon.gateway.context import GatewayContext
-from ragworthollow_daemon.gateway.host_pings import HostPings
+from ragworthollow_daemon.gateway.host_pings import HostPinger
 from ragworthollow_daemon.gateway.store_follower import Follower, StoreFollower
 from ragworthollow_daemon.gateway.update_client import UpdateClient
 
@@ -52,7 +52,7 @@
     members: GatewayMembers,
     announced: AnnouncedWork,
     follower: StoreFollower,
-) -> HostPings:
+) -> HostPinger:
     """
     Create the component that pings hosts and applies their store updates.
 
@@ -67,9 +67,9 @@
     follower : StoreFollower
         Applies the updates to the replica of the store.
     """
-    return HostPings(
+    return HostPinger(
         context=context,
         members=members,
         announced=announced,
-        take_news=follower.take_news,
+        apply_update=follower.take_news,
     )
--- a/packages/ragworthollow-daemon/src/ragworthollow_daemon/gateway/stream_relay.py
+++ b/packages/ragworthollow-daemon/src/ragworthollow_daemon/gateway/stream_relay.py
@@ -5,13 +5,13 @@
 from aiohttp import ClientResponse, web
 
 from ragworthollow.platform.answer_wire import make_caller_headers
-from ragworthollow_daemon.gateway.answer_progress import AnswerProgress
+from ragworthollow_daemon.gateway.answer_progress import ResponseProgress
 from ragworthollow_daemon.gateway.event_splitter import EventBuffer
 from ragworthollow_daemon.gateway.request_job import RequestJob
 from ragworthollow_daemon.gateway.upstream_failure import UpstreamFailure
 
 
-class StreamBroken(Exception):
+class StreamAborted(Exception):
     """
     Signal that a stream was aborted after its head had been sent.
 
@@ -47,7 +47,7 @@
         Request to answer.
     is_draining : callable
         Returns whether the process is shutting down.
-    progress : AnswerProgress
+    progress : ResponseProgress
         Updated when the head of the response is sent.
     """
 
@@ -56,7 +56,7 @@
         *,
         job: RequestJob,
         is_draining: Callable[[], bool],
-        progress: AnswerProgress,
+        progress: ResponseProgress,
     ) -> None:
         self._job = job
         self._progress = progress
@@ -128,7 +128,7 @@
         await self._response.write_eof()
         return self._response
 
-    def abort(self, failure: UpstreamFailure) -> StreamBroken:
+    def abort(self, failure: UpstreamFailure) -> StreamAborted:
         """
         Close the connection so that the response does not look complete.
 
@@ -137,13 +137,13 @@
 
         Returns
         -------
-        StreamBroken
+        StreamAborted
             Exception for the calling function to raise.
         """
         transport = self._job.request.transport
         if transport is not None:
             transport.close()
-        return StreamBroken(response=self._response, failure=failure)
+        return StreamAborted(response=self._response, failure=failure)
 
     async def _write(self, events: bytes) -> None:
         await self._response.write(events)
--- a/tests/features/steps/crash_evidence.py
+++ b/tests/features/steps/crash_evidence.py
@@ -18,7 +18,7 @@
     make_fingerprint,
 )
 from ragworthollow.upstreams import Directory, UpstreamInstance
-from ragworthollow_daemon.gateway.crash_watch import CrashWatch
+from ragworthollow_daemon.gateway.crash_watch import CrashDetector
 
 _TERM_MS = 300_000
 _HOUR_MS = 3_600_000
@@ -270,7 +270,7 @@
     directory = Directory()
     directory.replace([instance], 0)
     noted: list[str] = []
-    watch = CrashWatch(
+    watch = CrashDetector(
         directory=directory,
         metrics=Metrics(),
         spawn=asyncio.ensure_future,
@@ -282,8 +282,8 @@
     if state == 'has ended after leaving':
         left = dataclasses.replace(instance, is_leaving=True)
         directory.replace([left], 1)
-    watch.note_break(instance, [_WORK])
-    await watch.settle(instance)
+    watch.record_connection_loss(instance, [_WORK])
+    await watch.wait_for_crash_check(instance)
     server.close()
     return noted
 
--- a/tests/features/steps/domain_drains.py
+++ b/tests/features/steps/domain_drains.py
@@ -251,7 +251,7 @@
     service = PieceService(
         context=stage.get_context(),
         send=hang,
-        ask=deny,
+        query=deny,
     )
     runs = [
         asyncio.ensure_future(service.run('stage', [_make_piece(number)]))
--- a/tests/features/steps/lost_calls.py
+++ b/tests/features/steps/lost_calls.py
@@ -15,11 +15,11 @@
 from ragworthollow.transport.host_messages import HostState
 from ragworthollow.utils import use_monotonic
 from ragworthollow_daemon.gateway.asker_book import RequesterTracker
-from ragworthollow_daemon.gateway.call_outcomes import CallOutcomes
-from ragworthollow_daemon.gateway.call_watch import CallWatch
+from ragworthollow_daemon.gateway.call_outcomes import CallResultHandler
+from ragworthollow_daemon.gateway.call_watch import CallMonitor
 from ragworthollow_daemon.gateway.context import GatewayContext
 from ragworthollow_daemon.gateway.held_results import ResultsInUse
-from ragworthollow_daemon.gateway.host_pings import HostPings
+from ragworthollow_daemon.gateway.host_pings import HostPinger
 from ragworthollow_daemon.gateway.upstream_failure import UpstreamFailure
 from tests.fixtures.piece_pool import (
     FAR_MS,
@@ -51,8 +51,8 @@
     async def follow():
         context.slow = []
         sending = asyncio.ensure_future(asyncio.sleep(_ANSWER_MS / 1000))
-        watch = CallWatch(context=None, ask=ask)
-        context.is_lost = await watch.follow(
+        watch = CallMonitor(context=None, query=ask)
+        context.is_lost = await watch.monitor(
             context.call,
             sending,
             lambda: context.slow.append(context.loop.get_ms()),
@@ -90,8 +90,8 @@
     assert 300 * 2.5 <= noted_ms < 300 * 3.5, noted_ms
 
 
-def _make_outcomes(pool: PiecePool) -> CallOutcomes:
-    return CallOutcomes(
+def _make_outcomes(pool: PiecePool) -> CallResultHandler:
+    return CallResultHandler(
         context=SimpleNamespace(
             book=pool.book,
             metrics=Metrics(),
@@ -101,9 +101,9 @@
             directory=SimpleNamespace(get_pool=lambda _: pool.instances),
             get_budget=lambda _: SimpleNamespace(withdraw=lambda: True),
             suspect=lambda one: pool.book.record_failure(one.instance, 0),
-            quarantine=SimpleNamespace(get_left_ms=lambda _: 0),
+            quarantine=SimpleNamespace(get_remaining_ms=lambda _: 0),
         ),
-        free=lambda *_: None,
+        release=lambda *_: None,
     )
 
 
@@ -121,7 +121,7 @@
         peer='i0',
     )
     with use_monotonic(VirtualLoop().get_ms):
-        _make_outcomes(context.pool).note_failure(
+        _make_outcomes(context.pool).record_failure(
             'p',
             context.pool.gate,
             call,
@@ -279,17 +279,17 @@
         if context.members.find_highest_ranked(name).instance != 'g0'
     )
     context.first = context.members.find_highest_ranked(context.pool_name)
-    context.pings = HostPings(
+    context.pings = HostPinger(
         context=SimpleNamespace(),
         members=context.members,
         announced=None,
-        take_news=lambda _news, _asked_ms: False,
+        apply_update=lambda _news, _asked_ms: False,
     )
 
 
 def _answer(context, *, can_host: bool) -> None:
     state = HostState(instance=context.first.instance, can_host=can_host)
-    context.pings.take_state(context.first, state)
+    context.pings.apply_state(context.first, state)
 
 
 def _find_host(context) -> str:
--- a/tests/features/steps/slow_calls.py
+++ b/tests/features/steps/slow_calls.py
@@ -7,7 +7,7 @@
 from ragworthollow.metrics import Metrics
 from ragworthollow.pieces import PieceOutcome, PieceResult
 from ragworthollow.utils import use_monotonic
-from ragworthollow_daemon.gateway.call_outcomes import CallOutcomes
+from ragworthollow_daemon.gateway.call_outcomes import CallResultHandler
 from tests.fixtures.piece_pool import FAR_MS, PiecePool, make_waiting
 
 _DONE = PieceResult(outcome=PieceOutcome.done, handle='10.0.0.1:1/x')
@@ -22,7 +22,7 @@
     context.now_ms = 0
     context.calls_of_slow = []
     described = SimpleNamespace(pieces=context.pool.profile)
-    context.outcomes = CallOutcomes(
+    context.outcomes = CallResultHandler(
         context=SimpleNamespace(
             book=context.pool.book,
             metrics=Metrics(),
@@ -31,13 +31,13 @@
                 get_pool=lambda _: context.pool.instances,
             ),
             get_budget=lambda _: SimpleNamespace(withdraw=lambda: True),
-            quarantine=SimpleNamespace(get_left_ms=lambda _: 0),
+            quarantine=SimpleNamespace(get_remaining_ms=lambda _: 0),
             suspect=lambda instance: context.pool.book.record_failure(
                 instance.instance,
                 context.now_ms,
             ),
         ),
-        free=lambda *_: None,
+        release=lambda *_: None,
     )
 
 
@@ -64,12 +64,12 @@
     took_ms = context.now_ms - call.started_ms
     if took_ms > 2.5 * call.expected_ms and not one.is_noted:
         one.is_noted = True
-        context.outcomes.note_slow('p', context.pool.gate, call)
+        context.outcomes.record_slow_call('p', context.pool.gate, call)
     if took_ms < call.expected_ms * (context.factor if is_slow else 1):
         return True
     context.pool.gate.finish(call)
     found = tuple(_DONE for _ in call.pieces)
-    context.outcomes.note_results('p', context.pool.gate, call, found)
+    context.outcomes.record_results('p', context.pool.gate, call, found)
     return False
 
 
