--- a/measure/fleet_model/gateway.py
+++ b/measure/fleet_model/gateway.py
@@ -67,7 +67,7 @@
     ) -> None:
         self.name = settings.instance
         self.context = GatewayContext(settings=settings)
-        self.context.table = table
+        self.context.route_table = table
         self.members = GatewayMembers(instance=self.name)
         self._network = network
         self._usual_limits = TypicalTimeLimits()
@@ -120,7 +120,7 @@
             route=route,
             holder=None,
             pool=ENGINES,
-            route_table=self.context.table,
+            route_table=self.context.route_table,
             waited_ms=self._usual_limits.record(route.name, time_limit_ms),
             fingerprint=terms.request_id,
             received_ms=now_ms,
@@ -128,7 +128,9 @@
         )
         way = LatencyEstimate(
             job=job,
-            first_event_ms=self.context.get_answer_time(ENGINES).estimate_ms(
+            first_event_ms=self.context.get_first_event_latency(
+                ENGINES
+            ).estimate_ms(
                 job.request_parameters.prompt_tokens,
             ),
         )
@@ -165,7 +167,7 @@
         if isinstance(made, Err):
             return self._refuse(made.err_value)
         chosen = self._choose_engine(job)
-        record = self.context.book.get(chosen)
+        record = self.context.load_tracker.get(chosen)
         record.in_flight += 1
         sent_ms = get_monotonic_ms()
         reading = asyncio.get_running_loop().call_later(
@@ -179,7 +181,7 @@
         finally:
             reading.cancel()
             record.in_flight -= 1
-        self.context.get_answer_time(ENGINES).record(
+        self.context.get_first_event_latency(ENGINES).record(
             job.request_parameters.prompt_tokens,
             get_monotonic_ms() - sent_ms,
         )
@@ -189,7 +191,7 @@
     def _choose_engine(self, job: RequestJob) -> str:
         chosen = choose_upstream(
             self.context.directory.get_pool(ENGINES),
-            self.context.book,
+            self.context.load_tracker,
             UpstreamCriteria(
                 affinity_key=job.request_parameters.get_affinity_key()
             ),
--- a/measure/replica_fleet/fleet.py
+++ b/measure/replica_fleet/fleet.py
@@ -13,7 +13,7 @@
 from measure.replica_fleet.store_link import StoreLink
 from measure.replica_fleet.store_session import StoreSession
 from ragworthollow.conf import global_settings
-from ragworthollow.replica import StoreNews, derive_paces
+from ragworthollow.replica import StoreUpdate, derive_poll_intervals
 from ragworthollow.utils import get_boottime_ms, use_monotonic
 
 _MILLISECONDS = 1000
@@ -85,7 +85,7 @@
         self._store = StoreSession()
         for number in range(_KEYS):
             self._store.put(f'servers/{number}')
-        paces = derive_paces(
+        paces = derive_poll_intervals(
             bound_ms=plan.bound_ms,
             heartbeat_ms=plan.heartbeat_ms,
         )
@@ -186,7 +186,7 @@
         asked: ModelGateway,
         *,
         longest_bytes: float,
-    ) -> StoreNews | None:
+    ) -> StoreUpdate | None:
         """Ask as a ping does; None where nothing answers in time."""
         timeout_s = global_settings.HOST_PING_TIMEOUT_MS / _MILLISECONDS
         try:
@@ -200,16 +200,16 @@
         asker: ModelGateway,
         asked: ModelGateway,
         longest_bytes: float,
-    ) -> StoreNews | None:
+    ) -> StoreUpdate | None:
         after = asker.replica.view.get_position()
         await self._travel(asker, asked)
         await self._wait_awake(asked.number)
         asked.asked += 1
-        news = asked.replica.make_news(
+        news = asked.replica.make_update(
             after=after,
             now_ms=get_boottime_ms(),
-            longest_bytes=longest_bytes,
-            may_be_snapshot=longest_bytes > global_settings.NEWS_BYTES,
+            max_bytes=longest_bytes,
+            allow_snapshot=longest_bytes > global_settings.NEWS_BYTES,
         )
         await self._wait_awake(asked.number)
         await self._travel(asker, asked)
--- a/measure/replica_fleet/model_gateway.py
+++ b/measure/replica_fleet/model_gateway.py
@@ -10,10 +10,10 @@
 from ragworthollow.metrics import Metrics
 from ragworthollow.platform import StoreClient
 from ragworthollow.platform.store_position import StorePosition
-from ragworthollow.replica import FollowPaces, Replica
+from ragworthollow.replica import PollIntervals, Replica
 from ragworthollow.utils import get_boottime_ms
-from ragworthollow_daemon.gateway.heard_news import HeardNews
-from ragworthollow_daemon.gateway.store_follower import StoreFollower
+from ragworthollow_daemon.gateway.heard_news import ReceivedUpdate
+from ragworthollow_daemon.gateway.store_follower import StorePoller
 
 _MILLISECONDS = 1000
 
@@ -28,7 +28,7 @@
         Which one it is.
     link : StoreLink
         Its way to the store.
-    paces : FollowPaces
+    paces : PollIntervals
         How old evidence may grow.
     find_sources : callable
         Tells whom it asks, in the order in which these read.
@@ -43,7 +43,7 @@
         *,
         number: int,
         link: StoreLink,
-        paces: FollowPaces,
+        paces: PollIntervals,
         find_sources: Callable[[], Sequence['ModelGateway']],
         ask: Callable,
         rng: random.Random,
@@ -60,20 +60,20 @@
         self._silent: set[int] = set()
         self._highest = 0
         self.went_back = False
-        self.follower = StoreFollower(
+        self.follower = StorePoller(
             context=SimpleNamespace(
                 store=StoreClient(session=link, base_url='http://store'),
                 metrics=Metrics(),
             ),
-            followers=(self,),
+            subscribers=(self,),
             replica=self.replica,
-            paces=paces,
-            get_place=self._get_place,
+            intervals=paces,
+            get_reader_rank=self._get_place,
             ask_peers=self._ask_peers,
-            spread=rng.uniform(0, global_settings.TRUST_SPREAD),
+            jitter=rng.uniform(0, global_settings.TRUST_SPREAD),
         )
 
-    def take(self, found: Mapping, _proved_ms: float) -> None:
+    def apply_entries(self, found: Mapping, _proved_ms: float) -> None:
         """Note what is seen for the first time."""
         now_ms = asyncio.get_running_loop().time() * _MILLISECONDS
         newest = max((one.mod_revision for one in found.values()), default=0)
@@ -86,7 +86,7 @@
         """Note the size of an answer to a ping."""
         self.largest_answer_bytes = max(self.largest_answer_bytes, size_bytes)
 
-    def note_lost(self, _detail: str) -> None:
+    def handle_store_unavailable(self, _detail: str) -> None:
         """Go on."""
 
     async def run(self) -> None:
@@ -112,9 +112,9 @@
             self._silent.add(other.number)
             return
         self._silent.discard(other.number)
-        self.follower.take_news(news, asked_ms)
+        self.follower.apply_update(news, asked_ms)
 
-    async def _ask_peers(self, _after: StorePosition) -> list[HeardNews]:
+    async def _ask_peers(self, _after: StorePosition) -> list[ReceivedUpdate]:
         others = [one for one in self.peers if one is not self]
         count = min(len(others), global_settings.NEWS_PEERS_ASKED)
         asked_ms = get_boottime_ms()
@@ -125,7 +125,7 @@
             ),
         )
         return [
-            HeardNews(news=one, asked_ms=asked_ms)
+            ReceivedUpdate(update=one, sent_ms=asked_ms)
             for one in answers
             if one is not None
         ]
--- a/packages/ragworthollow-daemon/src/ragworthollow_daemon/gateway/admission.py
+++ b/packages/ragworthollow-daemon/src/ragworthollow_daemon/gateway/admission.py
@@ -112,12 +112,14 @@
         """
         context = self._context
         if (
-            context.table is None
+            context.route_table is None
             and request_parameters.time_limit_ms is not None
         ):
             share = global_settings.CONFIGURATION_WAIT_SHARE
-            await context.wait_table(request_parameters.time_limit_ms * share)
-        return context.table
+            await context.wait_for_route_table(
+                request_parameters.time_limit_ms * share
+            )
+        return context.route_table
 
     def _find_waited_ms(
         self,
--- a/packages/ragworthollow-daemon/src/ragworthollow_daemon/gateway/answer_notices.py
+++ b/packages/ragworthollow-daemon/src/ragworthollow_daemon/gateway/answer_notices.py
@@ -45,7 +45,9 @@
         return
     now_ms = get_monotonic_ms()
     if metadata.load is not None:
-        context.book.record_load(instance.instance, metadata.load, now_ms)
+        context.load_tracker.record_load(
+            instance.instance, metadata.load, now_ms
+        )
     if metadata.is_leaving:
         _record_leaving(context, instance, now_ms)
     if metadata.warm_up_remaining_ms:
--- a/packages/ragworthollow-daemon/src/ragworthollow_daemon/gateway/attempt_series.py
+++ b/packages/ragworthollow-daemon/src/ragworthollow_daemon/gateway/attempt_series.py
@@ -88,7 +88,7 @@
                 for instance in self._throttle.get_available()
                 if is_region_allowed(instance.region, self._allowed_regions)
             ],
-            context.book,
+            context.load_tracker,
             UpstreamCriteria(
                 affinity_key=self.job.request_parameters.get_affinity_key(),
                 avoid=frozenset(self._tried_instances),
@@ -139,7 +139,7 @@
     @contextmanager
     def track_in_flight(self, instance: UpstreamInstance) -> Iterator[None]:
         """Count the attempt as in flight at its instance while it runs."""
-        record = self._context.book.get(instance.instance)
+        record = self._context.load_tracker.get(instance.instance)
         record.in_flight += 1
         self._sent_attempts += 1
         try:
@@ -155,7 +155,7 @@
 
     def record_response(self, plan: AttemptPlan, status: int) -> None:
         """Record a response that is passed on to the caller."""
-        self._context.book.record_success(plan.instance.instance)
+        self._context.load_tracker.record_success(plan.instance.instance)
         if status in _SUCCESS_STATUSES:
             self._context.quarantine.record_success(self.job.fingerprint)
         late_ms = get_monotonic_ms() - self.job.get_objective_deadline_ms()
@@ -189,7 +189,7 @@
             failure.reason,
         )
         if failure.reason in _SUSPECT_REASONS:
-            self._context.suspect(plan.instance)
+            self._context.mark_suspect(plan.instance)
         if failure.reason in _CONNECTION_LOSS_REASONS:
             self._context.quarantine.record_connection_loss(
                 plan.instance,
@@ -321,7 +321,7 @@
         )
 
     def _log(self, plan: AttemptPlan, event: str, **fields: object) -> None:
-        record = self._context.book.get(plan.instance.instance)
+        record = self._context.load_tracker.get(plan.instance.instance)
         log_event(
             event,
             step=_STEP,
--- a/packages/ragworthollow-daemon/src/ragworthollow_daemon/gateway/call_outcomes.py
+++ b/packages/ragworthollow-daemon/src/ragworthollow_daemon/gateway/call_outcomes.py
@@ -83,7 +83,7 @@
         duration_ms = now_ms - call.started_ms
         slow_after_ms = call.expected_ms * global_settings.PIECE_CALL_PATIENCE
         if duration_ms <= slow_after_ms:
-            self._context.book.record_success(call.instance.instance)
+            self._context.load_tracker.record_success(call.instance.instance)
 
     async def wait_for_crash_check(
         self, call: PieceCall, failure: UpstreamFailure
@@ -123,7 +123,7 @@
         if failure.reason is Reason.answer_lost:
             self._space_recorder.record_lost(pool, scheduler, call)
         else:
-            self._context.suspect(call.instance)
+            self._context.mark_suspect(call.instance)
         # Nothing was sent, so the retry is not charged to the retry budget.
         is_budget_exempt = failure.reason is Reason.connect_failed
         for waiting in call.pieces:
@@ -154,7 +154,7 @@
             peer=call.instance.instance,
             detail='slower than expected; left running',
         )
-        self._context.suspect(call.instance)
+        self._context.mark_suspect(call.instance)
         self._record_failed_call(pool, scheduler, call, failure)
         for waiting in call.pieces:
             if not waiting.is_awaited or not self._may_retry(waiting):
--- a/packages/ragworthollow-daemon/src/ragworthollow_daemon/gateway/call_runner.py
+++ b/packages/ragworthollow-daemon/src/ragworthollow_daemon/gateway/call_runner.py
@@ -66,7 +66,7 @@
         Result
             Results in the order of the pieces, or why there are none.
         """
-        record = self._context.book.get(call.instance.instance)
+        record = self._context.load_tracker.get(call.instance.instance)
         record.in_flight += 1
         response = asyncio.ensure_future(self._send(self._context, call))
         self._responses[call] = response
--- a/packages/ragworthollow-daemon/src/ragworthollow_daemon/gateway/call_space.py
+++ b/packages/ragworthollow-daemon/src/ragworthollow_daemon/gateway/call_space.py
@@ -73,7 +73,7 @@
             )
 
     def _get_result_ttl_ms(self, pool: str) -> float:
-        pool_config = self._context.table.pools[pool]
+        pool_config = self._context.route_table.pools[pool]
         return pool_config.pieces.result_ttl_ms
 
 
--- a/packages/ragworthollow-daemon/src/ragworthollow_daemon/gateway/configuration_subscriber.py
+++ b/packages/ragworthollow-daemon/src/ragworthollow_daemon/gateway/configuration_subscriber.py
@@ -32,7 +32,9 @@
         self._context = context
         self._last_stored = Stored()
 
-    def take(self, entries: Mapping[str, Stored], _sent_ms: float) -> None:
+    def apply_entries(
+        self, entries: Mapping[str, Stored], _confirmed_ms: float
+    ) -> None:
         """
         Apply the stored configuration; keep the current one on failure.
 
@@ -48,7 +50,7 @@
             self._last_stored = stored
             self._apply(stored)
 
-    def note_lost(self, _detail: str) -> None:
+    def handle_store_unavailable(self, _detail: str) -> None:
         """Keep the current version while the store cannot be read."""
 
     def _apply(self, stored: Stored) -> None:
@@ -63,7 +65,7 @@
             )
             return
         table = decoded.ok_value
-        current = self._context.table
+        current = self._context.route_table
         if current is not None and table.version < current.version:
             log_error(
                 'configuration_older',
@@ -79,7 +81,7 @@
             step=_STEP,
             peer=self._context.settings.store_url,
         )
-        self._context.put_table(table)
+        self._context.set_route_table(table)
         log_event(
             'configuration_in_force',
             step=_STEP,
--- a/packages/ragworthollow-daemon/src/ragworthollow_daemon/gateway/context.py
+++ b/packages/ragworthollow-daemon/src/ragworthollow_daemon/gateway/context.py
@@ -42,7 +42,7 @@
     ----------
     settings : GatewaySettings
         Validated settings.
-    ask_to_stop : callable
+    request_shutdown : callable
         Starts a graceful shutdown of this process.
     """
 
@@ -50,9 +50,9 @@
         self,
         *,
         settings: GatewaySettings,
-        ask_to_stop: Callable[[], None] = _send_sigterm,
+        request_shutdown: Callable[[], None] = _send_sigterm,
     ) -> None:
-        self._request_shutdown = ask_to_stop
+        self._request_shutdown = request_shutdown
         self.settings = settings
         self.incarnation = make_identifier()
         self.metrics = Metrics()
@@ -67,10 +67,10 @@
             base_url=settings.store_url,
         )
         self.replica = Replica()
-        self.table: RouteTable | None = None
-        self._table_came = asyncio.Event()
+        self.route_table: RouteTable | None = None
+        self._has_route_table = asyncio.Event()
         self.directory = Directory()
-        self.book = LoadTracker()
+        self.load_tracker = LoadTracker()
         self._throttle = Throttle(
             gateway=settings.instance,
             propagation_ms=settings.get_shortest_bound_ms(),
@@ -114,11 +114,11 @@
             self._budgets[pool] = budget
         return budget
 
-    def get_answer_time(self, pool: str) -> FirstEventLatency:
+    def get_first_event_latency(self, pool: str) -> FirstEventLatency:
         """Return the statistics of a pool's time to the first event."""
         return self._first_event_latencies.setdefault(pool, FirstEventLatency())
 
-    def suspect(self, instance: UpstreamInstance) -> None:
+    def mark_suspect(self, instance: UpstreamInstance) -> None:
         """
         Record a failure of an instance, so that it is avoided for a while.
 
@@ -128,29 +128,35 @@
         """
         listed = self.directory.get(instance.instance)
         if listed is None or listed.is_same_incarnation(instance):
-            self.book.record_failure(instance.instance, get_monotonic_ms())
+            self.load_tracker.record_failure(
+                instance.instance, get_monotonic_ms()
+            )
 
-    def put_table(self, table: RouteTable) -> None:
+    def set_route_table(self, table: RouteTable) -> None:
         """Activate a route table."""
-        self.table = table
-        self._table_came.set()
+        self.route_table = table
+        self._has_route_table.set()
         if not self._quarantine.has_polled_peers:
             # The peers to exchange quarantine data with are now known.
             self._quarantine.has_urgent_update.set()
 
-    async def wait_table(self, timeout_ms: float) -> None:
+    async def wait_for_route_table(self, timeout_ms: float) -> None:
         """Wait for the first route table, at most `timeout_ms`."""
         with contextlib.suppress(TimeoutError):
             async with asyncio.timeout(timeout_ms / 1000):
-                await self._table_came.wait()
+                await self._has_route_table.wait()
 
     def can_host(self) -> bool:
         """Return whether pools and their instances are known."""
-        return self.table is not None and self.directory.is_known()
+        return self.route_table is not None and self.directory.is_known()
 
     def get_limits(self) -> RequestLimits:
         """Return the request limits of the current configuration."""
-        return RequestLimits() if self.table is None else self.table.limits
+        return (
+            RequestLimits()
+            if self.route_table is None
+            else self.route_table.limits
+        )
 
     def set_members(self, names: Collection[str], now_ms: float) -> None:
         """
@@ -201,7 +207,11 @@
 
     def _get_burst(self, pool: str) -> float:
         slack = self.settings.retry_slack * global_settings.RETRY_BUDGET_USE
-        pool_config = None if self.table is None else self.table.pools.get(pool)
+        pool_config = (
+            None
+            if self.route_table is None
+            else self.route_table.pools.get(pool)
+        )
         if pool_config is not None and pool_config.pieces is not None:
             return max(1, slack * global_settings.HOST_RETRY_SHARE)
         return max(1, slack / max(self._members, 4))
--- a/packages/ragworthollow-daemon/src/ragworthollow_daemon/gateway/forwarder.py
+++ b/packages/ragworthollow-daemon/src/ragworthollow_daemon/gateway/forwarder.py
@@ -184,7 +184,7 @@
             nonlocal is_recorded
             if not is_recorded:
                 is_recorded = True
-                self._context.get_answer_time(job.pool).record(
+                self._context.get_first_event_latency(job.pool).record(
                     job.request_parameters.prompt_tokens,
                     get_monotonic_ms() - sent_ms,
                 )
@@ -206,7 +206,7 @@
         them for the duration of the prompt, while the pool that produced them
         is short of space for results.
         """
-        record = self._context.book.get(plan.instance.instance)
+        record = self._context.load_tracker.get(plan.instance.instance)
         depth = record.in_flight + record.get_other_requests(get_monotonic_ms())
         opening_response = open_response(self._context, series.job, plan)
         if depth > plan.instance.slots:
--- a/packages/ragworthollow-daemon/src/ragworthollow_daemon/gateway/front.py
+++ b/packages/ragworthollow-daemon/src/ragworthollow_daemon/gateway/front.py
@@ -135,7 +135,7 @@
             if job is None
             else job.request_parameters
         )
-        table = self._context.table
+        table = self._context.route_table
         log_event(
             'request_ended',
             step=_STEP if failure is None else failure.step,
@@ -148,7 +148,9 @@
                 None
                 if table is None
                 else round(
-                    self._context.replica.evidence.get_age_ms(get_boottime_ms())
+                    self._context.replica.freshness.get_age_ms(
+                        get_boottime_ms()
+                    )
                 )
             ),
             status=response.status,
--- a/packages/ragworthollow-daemon/src/ragworthollow_daemon/gateway/gate_book.py
+++ b/packages/ragworthollow-daemon/src/ragworthollow_daemon/gateway/gate_book.py
@@ -47,7 +47,7 @@
 
     def find_profile(self, pool: str) -> PieceProfile | None:
         """Return the piece profile of a pool; None if it serves no stages."""
-        table = self._context.table
+        table = self._context.route_table
         pool_config = None if table is None else table.pools.get(pool)
         return None if pool_config is None else pool_config.pieces
 
--- a/packages/ragworthollow-daemon/src/ragworthollow_daemon/gateway/gate_handover.py
+++ b/packages/ragworthollow-daemon/src/ragworthollow_daemon/gateway/gate_handover.py
@@ -17,7 +17,7 @@
 from ragworthollow.utils import get_monotonic_ms
 from ragworthollow_daemon.gateway.context import GatewayContext
 from ragworthollow_daemon.gateway.gate_book import SchedulerRegistry
-from ragworthollow_daemon.gateway.peer_notes import tell_peer
+from ragworthollow_daemon.gateway.peer_notes import notify_peer
 
 _STEP = 'pieces'
 TRANSFER_PATH = '/v1/gates/transfer'
@@ -132,7 +132,7 @@
     async def _send(self, host: GatewayMember, transfer: GateTransfer) -> None:
         # Without it, the host overestimates the free capacity of instances.
         body = msgspec.json.encode(transfer)
-        await tell_peer(self._context, host, TRANSFER_PATH, body)
+        await notify_peer(self._context, host, TRANSFER_PATH, body)
 
 
 def _make_call_messages(
--- a/packages/ragworthollow-daemon/src/ragworthollow_daemon/gateway/heard_news.py
+++ b/packages/ragworthollow-daemon/src/ragworthollow_daemon/gateway/heard_news.py
@@ -2,21 +2,21 @@
 
 from dataclasses import dataclass
 
-from ragworthollow.replica import StoreNews
+from ragworthollow.replica import StoreUpdate
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
-class HeardNews:
+class ReceivedUpdate:
     """
     Hold an update and the time at which it was requested.
 
     Attributes
     ----------
-    news : StoreNews
+    update : StoreUpdate
         The update.
-    asked_ms : float
+    sent_ms : float
         When it was requested, on CLOCK_BOOTTIME.
     """
 
-    news: StoreNews
-    asked_ms: float
+    update: StoreUpdate
+    sent_ms: float
--- a/packages/ragworthollow-daemon/src/ragworthollow_daemon/gateway/host_pings.py
+++ b/packages/ragworthollow-daemon/src/ragworthollow_daemon/gateway/host_pings.py
@@ -12,7 +12,7 @@
 from ragworthollow.membership.gateway_member import GatewayMember
 from ragworthollow.membership.gateway_members import GatewayMembers
 from ragworthollow.pieces import AnnouncedWork
-from ragworthollow.replica import StoreNews
+from ragworthollow.replica import StoreUpdate
 from ragworthollow.transport.host_messages import (
     PING_PATH,
     GatewayPing,
@@ -59,7 +59,7 @@
         context: GatewayContext,
         members: GatewayMembers,
         announced: AnnouncedWork,
-        apply_update: Callable[[StoreNews, float], bool],
+        apply_update: Callable[[StoreUpdate, float], bool],
     ) -> None:
         self._context = context
         self._members = members
@@ -74,14 +74,14 @@
                     await self._context.quarantine.has_urgent_update.wait()
             self._context.quarantine.has_urgent_update.clear()
             await asyncio.gather(*map(self._ping, self._choose_ping_targets()))
-            if self._context.table is not None:
+            if self._context.route_table is not None:
                 # Set even if no host responds: there is then no peer to get
                 # evidence from.
                 self._context.quarantine.has_polled_peers = True
 
     def _choose_ping_targets(self) -> list[GatewayMember]:
         """Choose the gateways to ping; none before there is a route table."""
-        table = self._context.table
+        table = self._context.route_table
         if table is None:
             return []
         pools = [pool.name for pool in table.pools.values() if pool.pieces]
--- a/packages/ragworthollow-daemon/src/ragworthollow_daemon/gateway/instances_follower.py
+++ b/packages/ragworthollow-daemon/src/ragworthollow_daemon/gateway/instances_follower.py
@@ -23,7 +23,7 @@
 _STEP = 'instances'
 
 
-class InstancesFollower:
+class InstancesSubscriber:
     """
     Replace the list of instances after each read of the store.
 
@@ -49,7 +49,9 @@
         self._on_restart = on_restart
         self._decoded: dict[str, tuple[Stored, UpstreamInstance | None]] = {}
 
-    def take(self, entries: Mapping[str, Stored], sent_ms: float) -> None:
+    def apply_entries(
+        self, entries: Mapping[str, Stored], confirmed_ms: float
+    ) -> None:
         """
         Apply the records of all instances and the drained domains.
 
@@ -57,7 +59,7 @@
         ----------
         entries : mapping of str to Stored
             All records of the store by key.
-        sent_ms : float
+        confirmed_ms : float
             Time as of which they are known to be up to date, on the monotonic
             clock.
         """
@@ -67,17 +69,19 @@
             if key.startswith(INSTANCES_PREFIX)
         }
         drained = read_drained_domains(entries)
-        self.take_instances(self._decode(instance_entries), sent_ms, drained)
+        self.apply_instances(
+            self._decode(instance_entries), confirmed_ms, drained
+        )
 
-    def note_lost(self, _detail: str) -> None:
+    def handle_store_unavailable(self, _detail: str) -> None:
         """Record that the store could not be read, and keep the list."""
         self._context.directory.record_outage()
         self._context.metrics.count_event('instance_list_unavailable')
 
-    def take_instances(
+    def apply_instances(
         self,
         listed: Sequence[UpstreamInstance],
-        sent_ms: float,
+        confirmed_ms: float,
         drained: Iterable[str] = (),
     ) -> None:
         """
@@ -87,7 +91,7 @@
         ----------
         listed : sequence of UpstreamInstance
             All listed instances, including those that are shutting down.
-        sent_ms : float
+        confirmed_ms : float
             Time as of which they are known to be up to date, on the monotonic
             clock.
         drained : iterable of str
@@ -95,7 +99,7 @@
         """
         directory = self._context.directory
         previously_drained = frozenset(directory.drains.get_since_ms())
-        change = directory.replace(listed, sent_ms, drained)
+        change = directory.replace(listed, confirmed_ms, drained)
         self._log_drains(previously_drained, listed)
         self._begin_warm_ups(
             change.appeared,
@@ -104,9 +108,9 @@
         if not change:
             return
         for instance in change.left:
-            self._context.book.forget(instance)
+            self._context.load_tracker.forget(instance)
         for instance in (*change.appeared, *change.restarted):
-            self._context.book.forget_incarnation(instance)
+            self._context.load_tracker.forget_incarnation(instance)
         for instance in change.restarted:
             self._on_restart(instance)
         log_event(
@@ -131,7 +135,7 @@
         report that up to a heartbeat later.  Until then all gateways would
         prefer them at the same time, since they have the least load.
         """
-        table = self._context.table
+        table = self._context.route_table
         if not restored or table is None:
             return
         now_ms = get_monotonic_ms()
--- a/packages/ragworthollow-daemon/src/ragworthollow_daemon/gateway/instances_view.py
+++ b/packages/ragworthollow-daemon/src/ragworthollow_daemon/gateway/instances_view.py
@@ -44,7 +44,7 @@
     context: GatewayContext,
     now_ms: float,
 ) -> Iterator[WarmingInstance]:
-    pools = {} if context.table is None else context.table.pools
+    pools = {} if context.route_table is None else context.route_table.pools
     for pool in pools:
         throttle = PoolThrottle(context=context, pool=pool)
         for instance in context.directory.get_pool(pool):
@@ -65,7 +65,7 @@
 def _describe_limited(context: GatewayContext) -> Iterator[LimitedInstance]:
     now_ms = get_boottime_ms()
     limits = context.throttle.advertised_limits
-    pools = {} if context.table is None else context.table.pools
+    pools = {} if context.route_table is None else context.route_table.pools
     for pool in pools:
         throttle = PoolThrottle(context=context, pool=pool)
         for instance in context.directory.get_pool(pool):
--- a/packages/ragworthollow-daemon/src/ragworthollow_daemon/gateway/membership.py
+++ b/packages/ragworthollow-daemon/src/ragworthollow_daemon/gateway/membership.py
@@ -16,7 +16,7 @@
 from ragworthollow.transport.host_messages import CHANGE_PATH, MemberChange
 from ragworthollow.utils import get_monotonic_ms
 from ragworthollow_daemon.gateway.context import GatewayContext
-from ragworthollow_daemon.gateway.peer_notes import tell_peer
+from ragworthollow_daemon.gateway.peer_notes import notify_peer
 
 _PREFIX = 'gateways/'
 _STEP = 'membership'
@@ -163,12 +163,14 @@
         # A peer that misses the notification learns of it from the store.
         await asyncio.gather(
             *(
-                tell_peer(self._context, peer, CHANGE_PATH, body)
+                notify_peer(self._context, peer, CHANGE_PATH, body)
                 for peer in peers
             ),
         )
 
-    def take(self, entries: Mapping[str, Stored], confirmed_ms: float) -> None:
+    def apply_entries(
+        self, entries: Mapping[str, Stored], confirmed_ms: float
+    ) -> None:
         """Apply the list of members, known to be current at `confirmed_ms`."""
         timeline = self._context.replica.view.timeline
         if timeline != self._timeline:
@@ -187,7 +189,7 @@
                 left=sorted(previous - current),
             )
 
-    def note_lost(self, _detail: str) -> None:
+    def handle_store_unavailable(self, _detail: str) -> None:
         """Record that the store could not be read, and keep the members."""
         self._context.metrics.count_event('member_list_unavailable')
 
--- a/packages/ragworthollow-daemon/src/ragworthollow_daemon/gateway/peer_notes.py
+++ b/packages/ragworthollow-daemon/src/ragworthollow_daemon/gateway/peer_notes.py
@@ -9,7 +9,7 @@
 from ragworthollow_daemon.gateway.context import GatewayContext
 
 
-async def tell_peer(
+async def notify_peer(
     context: GatewayContext,
     peer: GatewayMember,
     path: str,
--- a/packages/ragworthollow-daemon/src/ragworthollow_daemon/gateway/peer_routes.py
+++ b/packages/ragworthollow-daemon/src/ragworthollow_daemon/gateway/peer_routes.py
@@ -121,13 +121,13 @@
                 can_host=self._context.can_host(),
                 is_leaving=self._context.drain.is_draining,
                 waits_ms=self._service.get_waits_ms(),
-                store=self._context.replica.make_news(
+                store=self._context.replica.make_update(
                     after=StorePosition(
                         timeline=ping.store_timeline,
                         revision=ping.store_revision,
                     ),
                     now_ms=get_boottime_ms(),
-                    longest_bytes=global_settings.NEWS_BYTES,
+                    max_bytes=global_settings.NEWS_BYTES,
                 ),
                 evidence=quarantine.make_update(ping.instance),
                 leaving_ages_ms=get_leaving_ages_ms(self._context),
@@ -143,11 +143,11 @@
         except msgspec.DecodeError as error:
             return respond(Problem(error=str(error)), status=_BAD_REQUEST)
         self._context.metrics.count_event('store_news_told')
-        update = self._context.replica.make_news(
+        update = self._context.replica.make_update(
             after=update_request.get_position(),
             now_ms=get_boottime_ms(),
-            longest_bytes=float('inf'),
-            may_be_snapshot=True,
+            max_bytes=float('inf'),
+            allow_snapshot=True,
         )
         return web.Response(body=encode_update(update))
 
--- a/packages/ragworthollow-daemon/src/ragworthollow_daemon/gateway/piece_exchange.py
+++ b/packages/ragworthollow-daemon/src/ragworthollow_daemon/gateway/piece_exchange.py
@@ -16,7 +16,7 @@
 )
 from ragworthollow.utils import get_monotonic_ms
 from ragworthollow_daemon.gateway.context import GatewayContext
-from ragworthollow_daemon.gateway.peer_notes import tell_peer
+from ragworthollow_daemon.gateway.peer_notes import notify_peer
 
 _OK = 200
 RUN_PATH = '/v1/pieces/run'
@@ -88,4 +88,4 @@
 ) -> bool:
     """Notify a host of released results; return False if it may not know."""
     body = msgspec.json.encode(release)
-    return await tell_peer(context, host, FREE_PATH, body)
+    return await notify_peer(context, host, FREE_PATH, body)
--- a/packages/ragworthollow-daemon/src/ragworthollow_daemon/gateway/piece_service.py
+++ b/packages/ragworthollow-daemon/src/ragworthollow_daemon/gateway/piece_service.py
@@ -144,7 +144,7 @@
         calls = scheduler.plan(
             profile,
             throttle.get_available(),
-            self._context.book,
+            self._context.load_tracker,
             get_monotonic_ms(),
         )
         for call in calls:
--- a/packages/ragworthollow-daemon/src/ragworthollow_daemon/gateway/pool_throttle.py
+++ b/packages/ragworthollow-daemon/src/ragworthollow_daemon/gateway/pool_throttle.py
@@ -166,7 +166,9 @@
     pool: str,
 ) -> RateLimits | None:
     pool_config = (
-        None if context.table is None else context.table.pools.get(pool)
+        None
+        if context.route_table is None
+        else context.route_table.pools.get(pool)
     )
     if pool_config is None:
         return None
--- a/packages/ragworthollow-daemon/src/ragworthollow_daemon/gateway/quarantine_records.py
+++ b/packages/ragworthollow-daemon/src/ragworthollow_daemon/gateway/quarantine_records.py
@@ -47,7 +47,9 @@
                 pause_s = global_settings.MEMBER_RETRY_MS / _MILLISECONDS
                 await asyncio.sleep(pause_s)
 
-    def take(self, entries: Mapping[str, Stored], _sent_ms: float) -> None:
+    def apply_entries(
+        self, entries: Mapping[str, Stored], _confirmed_ms: float
+    ) -> None:
         """Apply all records of the store."""
         records = {
             key: stored
@@ -61,12 +63,12 @@
             self._requeue_lost()
         self._applied_records = records
 
-    def note_lost(self, detail: str) -> None:
+    def handle_store_unavailable(self, detail: str) -> None:
         """Ignore an unavailable store; known decisions stay in effect."""
 
     def _requeue_lost(self) -> None:
         """Queue decisions again that a store lost when it was restored."""
-        entries = self._context.replica.view.found
+        entries = self._context.replica.view.entries
         for request in self._context.quarantine.list_quarantined():
             key = f'{_PREFIX}{request.fingerprint}'
             is_writer = self._context.throttle.senders.is_chosen(
--- a/packages/ragworthollow-daemon/src/ragworthollow_daemon/gateway/readiness.py
+++ b/packages/ragworthollow-daemon/src/ragworthollow_daemon/gateway/readiness.py
@@ -26,7 +26,8 @@
         """Return whether requests can be served now."""
         context = self._context
         has_state = (
-            context.table is not None and context.quarantine.has_polled_peers
+            context.route_table is not None
+            and context.quarantine.has_polled_peers
         )
         return has_state and not context.drain.is_draining
 
--- a/packages/ragworthollow-daemon/src/ragworthollow_daemon/gateway/request_runner.py
+++ b/packages/ragworthollow-daemon/src/ragworthollow_daemon/gateway/request_runner.py
@@ -80,7 +80,9 @@
             return Err(final_refusal)
         estimate = LatencyEstimate(
             job=job,
-            first_event_ms=self._context.get_answer_time(job.pool).estimate_ms(
+            first_event_ms=self._context.get_first_event_latency(
+                job.pool
+            ).estimate_ms(
                 job.request_parameters.prompt_tokens,
             ),
         )
@@ -191,7 +193,7 @@
     ) -> ResponseResult:
         result = await self._context.stop.run(
             self._forwarder.forward(job, inputs, on_inputs_read, progress),
-            may_end=lambda: not progress.is_started,
+            may_cancel=lambda: not progress.is_started,
         )
         if result is None:
             return Err(make_shutdown_failure(job.pool, Outcome.unknown))
--- a/packages/ragworthollow-daemon/src/ragworthollow_daemon/gateway/result_holding.py
+++ b/packages/ragworthollow-daemon/src/ragworthollow_daemon/gateway/result_holding.py
@@ -16,7 +16,7 @@
     make_result_messages,
 )
 from ragworthollow_daemon.gateway.held_results import ResultsInUse
-from ragworthollow_daemon.gateway.peer_notes import tell_peer
+from ragworthollow_daemon.gateway.peer_notes import notify_peer
 from ragworthollow_daemon.gateway.piece_service import PieceService
 
 
@@ -99,7 +99,7 @@
             kept=make_result_messages(results, get_monotonic_ms()),
         )
         body = msgspec.json.encode(transfer)
-        await tell_peer(self._context, host, TRANSFER_PATH, body)
+        await notify_peer(self._context, host, TRANSFER_PATH, body)
 
     def _find_producer(self, pool: str, handle: str) -> str:
         address = get_maker_address(handle)
--- a/packages/ragworthollow-daemon/src/ragworthollow_daemon/gateway/role.py
+++ b/packages/ragworthollow-daemon/src/ragworthollow_daemon/gateway/role.py
@@ -15,7 +15,7 @@
 from ragworthollow_daemon.gateway.context import GatewayContext
 from ragworthollow_daemon.gateway.front import RequestHandler
 from ragworthollow_daemon.gateway.gate_handover import SchedulerHandover
-from ragworthollow_daemon.gateway.instances_follower import InstancesFollower
+from ragworthollow_daemon.gateway.instances_follower import InstancesSubscriber
 from ragworthollow_daemon.gateway.membership import Membership
 from ragworthollow_daemon.gateway.peer_routes import PeerRoutes
 from ragworthollow_daemon.gateway.piece_client import PieceClient
@@ -70,8 +70,8 @@
         self._store_poller = make_store_poller(
             context=self.context,
             members=self.members,
-            followers=(
-                InstancesFollower(
+            subscribers=(
+                InstancesSubscriber(
                     context=self.context,
                     on_change=self.service.advance_all,
                     on_restart=self.service.forget_incarnation,
@@ -85,7 +85,7 @@
             context=self.context,
             members=self.members,
             announced=self.service.get_schedulers().announced,
-            follower=self._store_poller,
+            store_poller=self._store_poller,
         )
         self._runners: list[web.BaseRunner] = []
 
@@ -137,7 +137,7 @@
         self.context.spawn_loop(self._host_pinger.run())
         self.context.spawn_loop(self._quarantine_records.run())
 
-    def begin_stop(self) -> None:
+    def begin_shutdown(self) -> None:
         """Report as not ready, and refuse requests that cannot finish."""
         self.context.drain.is_draining = True
         self.context.stop.begin(
@@ -156,7 +156,7 @@
         started_ms = get_monotonic_ms()
         await self.membership.leave()
         await self.context.stop.wait(global_settings.GATEWAY_BALANCER_LAG_MS)
-        remaining_ms = self.context.stop.get_left_ms(get_boottime_ms())
+        remaining_ms = self.context.stop.get_remaining_ms(get_boottime_ms())
         if not await self.context.drain.wait_quiet(remaining_ms):
             self.context.stop.abort()
             await self.context.drain.wait_quiet(
--- a/packages/ragworthollow-daemon/src/ragworthollow_daemon/gateway/service.py
+++ b/packages/ragworthollow-daemon/src/ragworthollow_daemon/gateway/service.py
@@ -64,7 +64,7 @@
                 cut=drain.in_flight,
             )
             os._exit(_FORCED_EXIT_CODE)
-        self._role.begin_stop()
+        self._role.begin_shutdown()
         log_event(
             'draining',
             step='lifecycle',
--- a/packages/ragworthollow-daemon/src/ragworthollow_daemon/gateway/shutdown_state.py
+++ b/packages/ragworthollow-daemon/src/ragworthollow_daemon/gateway/shutdown_state.py
@@ -44,7 +44,7 @@
         )
         self._deadline_ms = now_ms + grace_ms - margin_ms
 
-    def get_left_ms(self, now_ms: float) -> float:
+    def get_remaining_ms(self, now_ms: float) -> float:
         """Return the time left in which requests can still finish."""
         return self._deadline_ms - now_ms
 
@@ -72,7 +72,7 @@
         if route.is_stream():
             since_stop_ms = now_ms - self._started_ms
             return since_stop_ms < global_settings.GATEWAY_LATE_STREAM_MS
-        return limit_ms < self.get_left_ms(now_ms)
+        return limit_ms < self.get_remaining_ms(now_ms)
 
     def abort(self) -> None:
         """Abort unanswered work, so that its callers get a response."""
@@ -81,7 +81,7 @@
     async def run(
         self,
         work: Coroutine[None, None, Outcome],
-        may_end: Callable[[], bool] = _always_allow,
+        may_cancel: Callable[[], bool] = _always_allow,
     ) -> Outcome | None:
         """
         Run work until it is done or the process aborts it.
@@ -90,7 +90,7 @@
         ----------
         work : coroutine
             The work, which is cancelled if the process aborts it.
-        may_end : callable
+        may_cancel : callable
             Called at that point; returns whether the work may be cancelled.
 
         Returns
@@ -105,7 +105,7 @@
                 {task, abort_wait},
                 return_when=asyncio.FIRST_COMPLETED,
             )
-            if task.done() or not may_end():
+            if task.done() or not may_cancel():
                 return await task
             return None
         finally:
--- a/packages/ragworthollow-daemon/src/ragworthollow_daemon/gateway/status_routes.py
+++ b/packages/ragworthollow-daemon/src/ragworthollow_daemon/gateway/status_routes.py
@@ -96,7 +96,7 @@
     async def get_metrics(self, _request: web.Request) -> web.Response:
         """Render the metrics in the Prometheus text format."""
         context = self._context
-        table = context.table
+        table = context.route_table
         context.metrics.set_state('version', table.version if table else 0)
         context.metrics.set_state('in_flight', context.drain.in_flight)
         context.metrics.set_state('store_calls', context.store.calls)
@@ -119,7 +119,7 @@
     async def get_status(self, _request: web.Request) -> web.Response:
         """Return the status as JSON."""
         context = self._context
-        table = context.table
+        table = context.route_table
         pools = table.pools if table else {}
         scheduled_pools = [
             pool_config.name
--- a/packages/ragworthollow-daemon/src/ragworthollow_daemon/gateway/store_follower.py
+++ b/packages/ragworthollow-daemon/src/ragworthollow_daemon/gateway/store_follower.py
@@ -11,39 +11,41 @@
 from ragworthollow.platform import PlatformError
 from ragworthollow.platform.store_position import StorePosition
 from ragworthollow.platform.stored import Stored
-from ragworthollow.replica import FollowPaces, Replica, StoreNews
+from ragworthollow.replica import PollIntervals, Replica, StoreUpdate
 from ragworthollow.utils import get_boottime_ms, get_monotonic_ms
 from ragworthollow_daemon.gateway.context import GatewayContext
-from ragworthollow_daemon.gateway.heard_news import HeardNews
+from ragworthollow_daemon.gateway.heard_news import ReceivedUpdate
 from ragworthollow_daemon.gateway.poll_pace import get_retry_delay_ms
 from ragworthollow_daemon.gateway.store_reporter import StoreReporter
 
-AskPeers = Callable[[StorePosition], Awaitable[Sequence[HeardNews]]]
+AskPeers = Callable[[StorePosition], Awaitable[Sequence[ReceivedUpdate]]]
 _ALL_KEYS = ''
 _MILLISECONDS = 1000
 _MIN_PAUSE_MS = 1
 
 
-class Follower(Protocol):
+class StoreSubscriber(Protocol):
     """Receive the state of the store, or that it could not be read."""
 
-    def take(self, entries: Mapping[str, Stored], sent_ms: float) -> None:
+    def apply_entries(
+        self, entries: Mapping[str, Stored], confirmed_ms: float
+    ) -> None:
         """
-        Apply all records, known to be current as of `sent_ms`.
+        Apply all records, known to be current as of `confirmed_ms`.
 
         Parameters
         ----------
         entries : mapping of str to Stored
             All records by key.
-        sent_ms : float
+        confirmed_ms : float
             Time of the confirmation, on the monotonic clock.
         """
 
-    def note_lost(self, detail: str) -> None:
+    def handle_store_unavailable(self, detail: str) -> None:
         """Handle a failure to read the store."""
 
 
-class StoreFollower:
+class StorePoller:
     """
     Keep the replica of the store fresh, and notify subscribers.
 
@@ -62,19 +64,19 @@
     ----------
     context : GatewayContext
         Shared state of this gateway.
-    followers : sequence of Follower
+    subscribers : sequence of StoreSubscriber
         Subscribers, in the order in which they are notified.
     replica : Replica
         The replica to keep fresh.
-    paces : FollowPaces
+    intervals : PollIntervals
         Limits of the replica's staleness.
-    get_place : callable
+    get_reader_rank : callable
         Returns the rank of this gateway among the readers of the store, 0 for
         the first; None if no peer relies on its reads.
     ask_peers : callable
         Requests updates from peers while the store does not answer, and
         returns them.
-    spread : float
+    jitter : float
         Share of the maximum staleness by which this gateway polls earlier.
     """
 
@@ -82,20 +84,20 @@
         self,
         *,
         context: GatewayContext,
-        followers: Sequence[Follower],
+        subscribers: Sequence[StoreSubscriber],
         replica: Replica,
-        paces: FollowPaces,
-        get_place: Callable[[], int | None],
+        intervals: PollIntervals,
+        get_reader_rank: Callable[[], int | None],
         ask_peers: AskPeers,
-        spread: float = 0,
+        jitter: float = 0,
     ) -> None:
         self._context = context
-        self._subscribers = followers
+        self._subscribers = subscribers
         self._replica = replica
-        self._intervals = paces
-        self._get_reader_rank = get_place
+        self._intervals = intervals
+        self._get_reader_rank = get_reader_rank
         self._ask_peers = ask_peers
-        self._max_staleness_ms = paces.trust_ms * (1 - spread)
+        self._max_staleness_ms = intervals.max_staleness_ms * (1 - jitter)
         self._next_full_read_ms = float('-inf')
         self._last_full_read_ms = float('-inf')
         self._last_notified_ms = float('-inf')
@@ -136,22 +138,22 @@
         if isinstance(read, Err):
             if not await self._fetch_peer_updates():
                 for subscriber in self._subscribers:
-                    subscriber.note_lost(str(read.err_value))
+                    subscriber.handle_store_unavailable(str(read.err_value))
             return False
-        self._replica.evidence.note(sent_ms)
+        self._replica.freshness.record(sent_ms)
         self._notify()
         if self._replica.view.timeline != self._synced_timeline:
             self._synced_timeline = self._replica.view.timeline
             await self._fetch_peer_updates()
         return True
 
-    def take_news(self, update: StoreNews, sent_ms: float) -> bool:
+    def apply_update(self, update: StoreUpdate, sent_ms: float) -> bool:
         """
         Apply an update from a peer.
 
         Parameters
         ----------
-        update : StoreNews
+        update : StoreUpdate
             The update.
         sent_ms : float
             When it was requested, on CLOCK_BOOTTIME.
@@ -161,7 +163,7 @@
         bool
             Whether the replica is now fresher than before.
         """
-        result = self._replica.take_news(update, sent_ms, get_boottime_ms())
+        result = self._replica.apply_update(update, sent_ms, get_boottime_ms())
         if result.is_behind:
             self._is_behind.set()
         if result.is_fresher:
@@ -181,7 +183,7 @@
         becomes a reader for its peers.
         """
         while not (self._is_behind.is_set() or self._was_restored()):
-            age_ms = self._replica.evidence.get_age_ms(get_boottime_ms())
+            age_ms = self._replica.freshness.get_age_ms(get_boottime_ms())
             remaining_ms = self._get_max_staleness_ms() - age_ms
             if remaining_ms <= 0:
                 return
@@ -201,7 +203,7 @@
         rank = self._get_reader_rank()
         if rank is None:
             return self._max_staleness_ms
-        return self._intervals.get_read_ms(rank)
+        return self._intervals.get_reader_staleness_ms(rank)
 
     async def _fetch_peer_updates(self) -> bool:
         """
@@ -212,7 +214,7 @@
         updates = await self._ask_peers(self._replica.view.get_position())
         is_fresher = False
         for update in updates:
-            is_fresher |= self.take_news(update.news, update.asked_ms)
+            is_fresher |= self.apply_update(update.update, update.sent_ms)
         return is_fresher
 
     def _is_notification_due(self) -> bool:
@@ -222,11 +224,11 @@
     def _notify(self) -> None:
         now_ms = get_boottime_ms()
         self._last_notified_ms = now_ms
-        age_ms = self._replica.evidence.get_age_ms(now_ms)
+        age_ms = self._replica.freshness.get_age_ms(now_ms)
         confirmed_ms = get_monotonic_ms() - age_ms
-        entries = self._replica.get_found(now_ms)
+        entries = self._replica.get_entries(now_ms)
         for subscriber in self._subscribers:
-            subscriber.take(entries, confirmed_ms)
+            subscriber.apply_entries(entries, confirmed_ms)
 
     async def _read(self) -> Result[None, PlatformError]:
         now_ms = get_boottime_ms()
@@ -269,7 +271,7 @@
             # Lost records are written again, like records that have expired
             # during an outage.
             for subscriber in self._subscribers:
-                subscriber.note_lost('restored from a copy')
+                subscriber.handle_store_unavailable('restored from a copy')
         self._context.metrics.count_event('store_read_whole')
         is_short = now_ms - began_ms <= global_settings.STORE_REREAD_LONGEST_MS
         self._last_full_read_ms = now_ms
--- a/packages/ragworthollow-daemon/src/ragworthollow_daemon/gateway/store_poller_factory.py
+++ b/packages/ragworthollow-daemon/src/ragworthollow_daemon/gateway/store_poller_factory.py
@@ -5,10 +5,13 @@
 from ragworthollow.conf import global_settings
 from ragworthollow.membership.gateway_members import GatewayMembers
 from ragworthollow.pieces import AnnouncedWork
-from ragworthollow.replica import derive_paces
+from ragworthollow.replica import derive_poll_intervals
 from ragworthollow_daemon.gateway.context import GatewayContext
 from ragworthollow_daemon.gateway.host_pings import HostPinger
-from ragworthollow_daemon.gateway.store_follower import Follower, StoreFollower
+from ragworthollow_daemon.gateway.store_follower import (
+    StorePoller,
+    StoreSubscriber,
+)
 from ragworthollow_daemon.gateway.update_client import UpdateClient
 
 
@@ -16,8 +19,8 @@
     *,
     context: GatewayContext,
     members: GatewayMembers,
-    followers: Sequence[Follower],
-) -> StoreFollower:
+    subscribers: Sequence[StoreSubscriber],
+) -> StorePoller:
     """
     Create the store poller with polling intervals from the settings.
 
@@ -27,22 +30,22 @@
         Shared state of this gateway.
     members : GatewayMembers
         Gateways of the cluster.
-    followers : sequence of Follower
+    subscribers : sequence of StoreSubscriber
         Subscribers, in the order in which they are notified.
     """
     settings = context.settings
     update_client = UpdateClient(context=context, members=members)
-    return StoreFollower(
+    return StorePoller(
         context=context,
-        followers=followers,
+        subscribers=subscribers,
         replica=context.replica,
-        paces=derive_paces(
+        intervals=derive_poll_intervals(
             bound_ms=settings.get_shortest_bound_ms(),
             heartbeat_ms=settings.instance_heartbeat_ms,
         ),
-        get_place=members.get_reader_rank,
+        get_reader_rank=members.get_reader_rank,
         ask_peers=update_client.request_updates,
-        spread=context.rng.uniform(0, global_settings.TRUST_SPREAD),
+        jitter=context.rng.uniform(0, global_settings.TRUST_SPREAD),
     )
 
 
@@ -51,7 +54,7 @@
     context: GatewayContext,
     members: GatewayMembers,
     announced: AnnouncedWork,
-    follower: StoreFollower,
+    store_poller: StorePoller,
 ) -> HostPinger:
     """
     Create the component that pings hosts and applies their store updates.
@@ -64,12 +67,12 @@
         Gateways of the cluster.
     announced : AnnouncedWork
         Work that is announced to hosts.
-    follower : StoreFollower
+    store_poller : StorePoller
         Applies the updates to the replica of the store.
     """
     return HostPinger(
         context=context,
         members=members,
         announced=announced,
-        apply_update=follower.take_news,
+        apply_update=store_poller.apply_update,
     )
--- a/packages/ragworthollow-daemon/src/ragworthollow_daemon/gateway/update_client.py
+++ b/packages/ragworthollow-daemon/src/ragworthollow_daemon/gateway/update_client.py
@@ -16,7 +16,7 @@
 from ragworthollow.transport.timeouts import make_timeout
 from ragworthollow.utils import get_boottime_ms
 from ragworthollow_daemon.gateway.context import GatewayContext
-from ragworthollow_daemon.gateway.heard_news import HeardNews
+from ragworthollow_daemon.gateway.heard_news import ReceivedUpdate
 
 UPDATE_PATH = '/v1/store/news'
 _STEP = 'store_news'
@@ -48,7 +48,7 @@
 
     async def request_updates(
         self, after: StorePosition
-    ) -> Sequence[HeardNews]:
+    ) -> Sequence[ReceivedUpdate]:
         """
         Request all changes after a position.
 
@@ -81,7 +81,7 @@
         self,
         peer: GatewayMember,
         body: bytes,
-    ) -> HeardNews | None:
+    ) -> ReceivedUpdate | None:
         sent_ms = get_boottime_ms()
         try:
             async with self._context.session.post(
@@ -106,4 +106,4 @@
             return None
         if update.ok_value is None:
             return None
-        return HeardNews(news=update.ok_value, asked_ms=sent_ms)
+        return ReceivedUpdate(update=update.ok_value, sent_ms=sent_ms)
--- a/packages/ragworthollow/src/ragworthollow/replica/evidence.py
+++ b/packages/ragworthollow/src/ragworthollow/replica/evidence.py
@@ -22,7 +22,7 @@
     def __init__(self) -> None:
         self._confirmed_ms = float('-inf')
 
-    def note(self, confirmed_ms: float) -> bool:
+    def record(self, confirmed_ms: float) -> bool:
         """
         Record a confirmation; return whether it is the latest so far.
 
--- a/packages/ragworthollow/src/ragworthollow/replica/follow_paces.py
+++ b/packages/ragworthollow/src/ragworthollow/replica/follow_paces.py
@@ -6,13 +6,13 @@
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
-class FollowPaces:
+class PollIntervals:
     """
     Limit the age of a gateway's replica of the store.
 
     Attributes
     ----------
-    trust_ms : float
+    max_staleness_ms : float
         Maximum age of the latest confirmation, from an own read or a peer;
         at this age a gateway polls the store itself.
     reader_staleness_ms : float
@@ -25,12 +25,12 @@
         Maximum delay between retries while the store does not answer.
     """
 
-    trust_ms: float
+    max_staleness_ms: float
     reader_staleness_ms: float
     step_ms: float
     max_retry_ms: float
 
-    def get_read_ms(self, rank: int) -> float:
+    def get_reader_staleness_ms(self, rank: int) -> float:
         """
         Return the maximum staleness at which a reader polls the store.
 
@@ -40,18 +40,20 @@
             Rank of this gateway among the readers, 0 for the first.
         """
         return min(
-            self.trust_ms,
+            self.max_staleness_ms,
             self.reader_staleness_ms + rank * self.step_ms,
         )
 
 
-def derive_paces(*, bound_ms: float, heartbeat_ms: float) -> FollowPaces:
+def derive_poll_intervals(
+    *, bound_ms: float, heartbeat_ms: float
+) -> PollIntervals:
     """
     Derive the polling intervals from the bounds that they have to meet.
 
     In the worst case a change is accepted right after a read.  The staleness
-    then grows to `trust_ms`, the gateway polls, and the call fails and is
-    retried.  All of this has to fit into a share of the bound.
+    then grows to `max_staleness_ms`, the gateway polls, and the call fails and
+    is retried.  All of this has to fit into a share of the bound.
 
     During an outage the records of live instances expire after three
     heartbeats.  The outage has to be detected before that, since the instances
@@ -80,8 +82,8 @@
     )
     # Leaves time for two further readers and for passing the update to peers.
     reader_staleness_ms = max_staleness_ms - 3 * step_ms
-    return FollowPaces(
-        trust_ms=max_staleness_ms,
+    return PollIntervals(
+        max_staleness_ms=max_staleness_ms,
         reader_staleness_ms=max(
             reader_staleness_ms,
             max_staleness_ms * global_settings.READ_LEAST_SHARE,
--- a/packages/ragworthollow/src/ragworthollow/replica/news_codec.py
+++ b/packages/ragworthollow/src/ragworthollow/replica/news_codec.py
@@ -6,15 +6,15 @@
 from result import Err, Ok, Result
 
 from ragworthollow.conf import global_settings
-from ragworthollow.replica.store_news import StoreNews
+from ragworthollow.replica.store_news import StoreUpdate
 
 
-def encode_update(update: StoreNews | None) -> bytes:
+def encode_update(update: StoreUpdate | None) -> bytes:
     """Encode and compress an update; a configuration shrinks to a tenth."""
     return zlib.compress(msgspec.json.encode(update))
 
 
-def decode_update(body: bytes) -> Result[StoreNews | None, str]:
+def decode_update(body: bytes) -> Result[StoreUpdate | None, str]:
     """
     Decompress and decode an update.
 
@@ -29,7 +29,7 @@
             body,
             global_settings.NEWS_LONGEST_BYTES,
         )
-        update = msgspec.json.decode(decompressed, type=StoreNews | None)
+        update = msgspec.json.decode(decompressed, type=StoreUpdate | None)
     except (zlib.error, msgspec.DecodeError) as error:
         return Err(repr(error))
     return Ok(update)
--- a/packages/ragworthollow/src/ragworthollow/replica/replica.py
+++ b/packages/ragworthollow/src/ragworthollow/replica/replica.py
@@ -16,12 +16,12 @@
 from ragworthollow.platform.stored import Stored
 from ragworthollow.replica.evidence import Freshness
 from ragworthollow.replica.retained_keys import RetainedKeys
-from ragworthollow.replica.store_news import StoreNews, UpdatedKey
+from ragworthollow.replica.store_news import StoreUpdate, UpdatedKey
 from ragworthollow.replica.store_view import StoreView
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
-class NewsEffect:
+class UpdateResult:
     """
     Describe how an update from a peer affected the replica.
 
@@ -55,16 +55,16 @@
 
     def __init__(self) -> None:
         self.view = StoreView()
-        self.evidence = Freshness()
+        self.freshness = Freshness()
         self._retained = RetainedKeys(
             is_newer=is_newer_value,
             may_outlive=may_outlive_loss,
             may_stay_removed=may_stay_removed,
         )
 
-    def get_found(self, now_ms: float) -> Mapping[str, Stored]:
+    def get_entries(self, now_ms: float) -> Mapping[str, Stored]:
         """Return the active entries: the copy plus the retained keys."""
-        return self._retained.merge(self.view.found, now_ms)
+        return self._retained.merge(self.view.entries, now_ms)
 
     def count_retained(self) -> int:
         """Return the number of keys retained after a restore lost them."""
@@ -90,17 +90,17 @@
         is_restored = snapshot.timeline > self.view.timeline
         if is_restored and not is_first:
             self._retained.start_retention(
-                self.get_found(now_ms),
+                self.get_entries(now_ms),
                 self.view.get_removed(),
                 snapshot.found,
                 now_ms,
             )
-        before = self.view.found
+        before = self.view.entries
         self.view.replace(snapshot)
         if not is_restored:
             self._retained.discard_written(
-                _find_changed_keys(before, self.view.found),
-                self.view.found,
+                _find_changed_keys(before, self.view.entries),
+                self.view.entries,
             )
         return is_restored and not is_first
 
@@ -111,18 +111,18 @@
         self.view.apply(changes)
         self._retained.discard_written(
             changes.written.keys() | changes.removed.keys(),
-            self.view.found,
+            self.view.entries,
         )
         return True
 
-    def make_news(
+    def make_update(
         self,
         *,
         after: StorePosition,
         now_ms: float,
-        longest_bytes: float,
-        may_be_snapshot: bool = False,
-    ) -> StoreNews | None:
+        max_bytes: float,
+        allow_snapshot: bool = False,
+    ) -> StoreUpdate | None:
         """
         Build the update for a peer that knows all changes up to a position.
 
@@ -132,35 +132,35 @@
             Position up to which the peer knows all changes.
         now_ms : float
             Time on CLOCK_BOOTTIME.
-        longest_bytes : float
+        max_bytes : float
             Size, in bytes, above which changes are left out.
-        may_be_snapshot : bool
+        allow_snapshot : bool
             Whether to send all keys if the changes are no longer known.
 
         Returns
         -------
-        StoreNews or None
+        StoreUpdate or None
             None while the replica is empty.
         """
-        if not self.evidence.is_known():
+        if not self.freshness.is_known():
             return None
         changes = self.view.find_changes(after)
-        is_snapshot = changes is None and may_be_snapshot
+        is_snapshot = changes is None and allow_snapshot
         if is_snapshot:
             changes = StoreChanges(
-                written=self.view.found,
+                written=self.view.entries,
                 removed={},
                 revision=self.view.revision,
                 is_whole=True,
                 timeline=self.view.timeline,
             )
-        update = StoreNews(
+        update = StoreUpdate(
             revision=self.view.revision,
-            age_ms=self.evidence.get_age_ms(now_ms),
+            age_ms=self.freshness.get_age_ms(now_ms),
             timeline=self.view.timeline,
-            retained=self._retained.export(now_ms) if may_be_snapshot else (),
+            retained=self._retained.export(now_ms) if allow_snapshot else (),
         )
-        if changes is None or _get_size(changes) > longest_bytes:
+        if changes is None or _get_size(changes) > max_bytes:
             return update
         return msgspec.structs.replace(
             update,
@@ -178,12 +178,12 @@
             removed=dict(changes.removed),
         )
 
-    def take_news(
+    def apply_update(
         self,
-        update: StoreNews,
+        update: StoreUpdate,
         sent_ms: float,
         now_ms: float,
-    ) -> NewsEffect:
+    ) -> UpdateResult:
         """
         Apply an update from a peer.
 
@@ -193,7 +193,7 @@
 
         Parameters
         ----------
-        update : StoreNews
+        update : StoreUpdate
             The update.
         sent_ms : float
             When it was requested, on CLOCK_BOOTTIME.  The peer computed the
@@ -204,27 +204,27 @@
         """
         if update.timeline < self.view.timeline:
             # The peer's state was discarded when the store was restored.
-            return NewsEffect()
+            return UpdateResult()
         is_behind = update.get_position() > self.view.get_position()
         can_catch_up = (
             update.is_snapshot or update.timeline == self.view.timeline
         ) and update.is_complete
         if is_behind and not can_catch_up:
-            return NewsEffect(is_behind=True)
+            return UpdateResult(is_behind=True)
         if is_behind:
             self._apply(update, now_ms)
         has_merged = self._retained.add_from_peer(
             update.retained,
-            self.view.found,
+            self.view.entries,
             now_ms,
         )
-        is_fresher = self.evidence.note(sent_ms - max(0, update.age_ms))
-        return NewsEffect(
+        is_fresher = self.freshness.record(sent_ms - max(0, update.age_ms))
+        return UpdateResult(
             is_fresher=is_fresher,
             has_changed=is_behind or has_merged,
         )
 
-    def _apply(self, update: StoreNews, now_ms: float) -> None:
+    def _apply(self, update: StoreUpdate, now_ms: float) -> None:
         written = {
             entry.key: Stored(
                 text=entry.text,
--- a/packages/ragworthollow/src/ragworthollow/replica/store_news.py
+++ b/packages/ragworthollow/src/ragworthollow/replica/store_news.py
@@ -44,7 +44,7 @@
     left_ms: float
 
 
-class StoreNews(Message):
+class StoreUpdate(Message):
     """
     Carry the latest known state of the store, and its age.
 
--- a/packages/ragworthollow/src/ragworthollow/replica/store_view.py
+++ b/packages/ragworthollow/src/ragworthollow/replica/store_view.py
@@ -16,7 +16,7 @@
 
     Attributes
     ----------
-    found : mapping of str to Stored
+    entries : mapping of str to Stored
         All entries by key.
     revision : int
         Revision up to which changes have been applied; 0 before the first
@@ -38,7 +38,7 @@
         self.size_bytes = 0
 
     @property
-    def found(self) -> Mapping[str, Stored]:
+    def entries(self) -> Mapping[str, Stored]:
         """Return all entries by key."""
         return self._entries
 
--- a/packages/ragworthollow/src/ragworthollow/transport/host_messages.py
+++ b/packages/ragworthollow/src/ragworthollow/transport/host_messages.py
@@ -2,7 +2,7 @@
 
 from ragworthollow.membership.gateway_member import GatewayMember
 from ragworthollow.quarantine.evidence_news import EvidenceUpdate
-from ragworthollow.replica.store_news import StoreNews
+from ragworthollow.replica.store_news import StoreUpdate
 from ragworthollow.throttling.limit_news import LimitUpdate
 from ragworthollow.utils.message import Message
 
@@ -59,7 +59,7 @@
     waits_ms : dict
         Expected waits of a new piece, by pool and priority; None where no
         instance of the pool takes work.
-    store : StoreNews, optional
+    store : StoreUpdate, optional
         What it knows of the store; nothing before its first read.
     evidence : EvidenceUpdate, optional
         What it knows of crashes.
@@ -73,7 +73,7 @@
     can_host: bool = True
     is_leaving: bool = False
     waits_ms: dict[str, list[float | None]] = {}
-    store: StoreNews | None = None
+    store: StoreUpdate | None = None
     evidence: EvidenceUpdate | None = None
     leaving_ages_ms: dict[str, float] = {}
     named_limits: dict[str, LimitUpdate] = {}
--- a/tests/features/steps/answer_notices.py
+++ b/tests/features/steps/answer_notices.py
@@ -161,7 +161,7 @@
 @when('it is under suspicion no more')
 def wait_trusted(context):
     stage = context.gateway_stage
-    record = stage.get_context().book.get('u1')
+    record = stage.get_context().load_tracker.get('u1')
     stage.run(
         stage.wait_for(lambda: record.suspect_until_ms <= get_monotonic_ms()),
     )
--- a/tests/features/steps/caller_limits.py
+++ b/tests/features/steps/caller_limits.py
@@ -96,7 +96,9 @@
     context.reader, context.writer = stage.run(_open(stage))
     context.writer.write(_HEAD + _BODY)
     stage.run(asyncio.wait_for(_read_answer(context.reader), _WAIT_S))
-    stage.get_context().table.limits = RequestLimits(idle_timeout_ms=limit_ms)
+    stage.get_context().route_table.limits = RequestLimits(
+        idle_timeout_ms=limit_ms
+    )
 
 
 @then('the caller gets an answer on the same connection after the old limit')
--- a/tests/features/steps/domain_drains.py
+++ b/tests/features/steps/domain_drains.py
@@ -14,7 +14,7 @@
 from ragworthollow.replica import Replica
 from ragworthollow.upstreams import Directory, LoadTracker
 from ragworthollow_ctl.commands.instances import instances
-from ragworthollow_daemon.gateway.instances_follower import InstancesFollower
+from ragworthollow_daemon.gateway.instances_follower import InstancesSubscriber
 from ragworthollow_daemon.gateway.piece_service import PieceService
 from tests.fixtures.commands import run_command
 from tests.fixtures.gateways import make_settings
@@ -284,14 +284,14 @@
 
 def _make_follower():
     directory = Directory()
-    follower = InstancesFollower(
+    follower = InstancesSubscriber(
         context=SimpleNamespace(
             directory=directory,
-            book=LoadTracker(),
+            load_tracker=LoadTracker(),
             metrics=Metrics(),
             throttle=make_throttle(),
             settings=make_settings(),
-            table=None,
+            route_table=None,
         ),
         on_change=lambda: None,
         on_restart=lambda _: None,
@@ -308,8 +308,8 @@
     follower, directory = _make_follower()
     listed = _store('servers/i1')
     drained = _store(f'{_PREFIX}two')
-    follower.take(listed, 0)
-    follower.note_lost('')
+    follower.apply_entries(listed, 0)
+    follower.handle_store_unavailable('')
     context.seen = []
     for now_ms, found in (
         (1000, drained),
@@ -317,9 +317,9 @@
         (1400, drained),
         (1600, {**listed, **drained}),
     ):
-        follower.take(found, now_ms)
+        follower.apply_entries(found, now_ms)
         context.seen.append(directory.get_pool('p'))
-    follower.take(listed, 1800)
+    follower.apply_entries(listed, 1800)
     context.last = directory.get_pool('p')
 
 
@@ -337,7 +337,7 @@
         replica.view.replace(
             StoreSnapshot(found=listed, revision=1, size_bytes=1),
         )
-        replica.evidence.note(0)
+        replica.freshness.record(0)
     drain_key = f'{_PREFIX}two'
     teller.view.replace(
         StoreSnapshot(
@@ -346,12 +346,12 @@
             size_bytes=1,
         ),
     )
-    news = teller.make_news(
-        after=StorePosition(revision=1), now_ms=5, longest_bytes=100
+    news = teller.make_update(
+        after=StorePosition(revision=1), now_ms=5, max_bytes=100
     )
-    hearer.take_news(news, 5, 5)
+    hearer.apply_update(news, 5, 5)
     follower, context.directory = _make_follower()
-    follower.take(hearer.view.found, 5)
+    follower.apply_entries(hearer.view.entries, 5)
 
 
 @then('the other one gives the domain nothing')
--- a/tests/features/steps/gate_hosts.py
+++ b/tests/features/steps/gate_hosts.py
@@ -51,7 +51,7 @@
 
 async def _stop_host(stage, count):
     role, sending = await _occupy_host(stage, count)
-    role.begin_stop()
+    role.begin_shutdown()
     await role.stop()
     return await sending
 
@@ -68,7 +68,7 @@
 
 async def _stop_two(stage):
     for name in ('g1', 'g2'):
-        stage.gateways[name].begin_stop()
+        stage.gateways[name].begin_shutdown()
         await stage.gateways[name].membership.leave()
     await stage.add_gateway('g4')
     await stage.wait_for(lambda: 'g4' in _get_known(stage, 'g1'))
--- a/tests/features/steps/gateway.py
+++ b/tests/features/steps/gateway.py
@@ -262,7 +262,7 @@
 
 @then('the gateway stays at version {version:d}')
 def check_version(context, version):
-    assert context.gateway_stage.get_context().table.version == version
+    assert context.gateway_stage.get_context().route_table.version == version
 
 
 _FAULTS = {
@@ -314,7 +314,7 @@
 
 async def _stop(stage) -> SimpleNamespace:
     role = stage.gateways['g1']
-    role.begin_stop()
+    role.begin_shutdown()
     stopping = asyncio.ensure_future(role.stop())
     url = f'http://{role.context.settings.ready_address}/api/ready'
     async with stage.session.get(url) as response:
@@ -352,7 +352,7 @@
         lambda: any(one.runs for one in stage.upstreams.values()),
     )
     role = stage.gateways['g1']
-    role.begin_stop()
+    role.begin_shutdown()
     return streaming, asyncio.ensure_future(role.stop())
 
 
@@ -372,7 +372,7 @@
     """Tell whether the stop waits for nothing but requests in flight."""
     stop_state = stage.get_context().stop
     grace_ms = stage.get_context().settings.grace_s * 1000
-    elapsed_ms = grace_ms - stop_state.get_left_ms(get_boottime_ms())
+    elapsed_ms = grace_ms - stop_state.get_remaining_ms(get_boottime_ms())
     return elapsed_ms > (
         global_settings.GATEWAY_BALANCER_LAG_MS
         + global_settings.GATEWAY_STOP_MARGIN_MS
--- a/tests/features/steps/gateway_fleet.py
+++ b/tests/features/steps/gateway_fleet.py
@@ -196,7 +196,7 @@
         lambda: any(stage.upstreams[name].runs for name in _PLAIN),
     )
     role = stage.gateways['g2']
-    role.begin_stop()
+    role.begin_shutdown()
     return waiting, asyncio.ensure_future(role.stop())
 
 
@@ -209,7 +209,9 @@
 
 async def _ask_late(stage):
     stop = stage.get_context('g2').stop
-    route = stage.get_context('g2').table.match('service.example', '/stream/')
+    route = stage.get_context('g2').route_table.match(
+        'service.example', '/stream/'
+    )
     await stage.wait_for(
         lambda: not stop.accepts(route, 1000, get_boottime_ms()),
     )
--- a/tests/features/steps/grace_time.py
+++ b/tests/features/steps/grace_time.py
@@ -27,7 +27,7 @@
         serving = asyncio.ensure_future(_serve(role))
         await asyncio.sleep(0)
         asked_ms = get_boottime_ms()
-        role.begin_stop()
+        role.begin_shutdown()
         await role.stop()
         found.took_ms = get_boottime_ms() - asked_ms
         found.given_up = serving.done() and serving.result() is None
--- a/tests/features/steps/instance_entries.py
+++ b/tests/features/steps/instance_entries.py
@@ -14,7 +14,7 @@
 from ragworthollow.platform.instances_wire import decode_instance
 from ragworthollow.platform.stored import Stored
 from ragworthollow.upstreams import Directory, LoadTracker, UpstreamInstance
-from ragworthollow_daemon.gateway.instances_follower import InstancesFollower
+from ragworthollow_daemon.gateway.instances_follower import InstancesSubscriber
 from ragworthollow_daemon.gateway.piece_service import PieceService
 from tests.fixtures.gateways import make_settings
 from tests.fixtures.piece_pool import make_waiting
@@ -73,13 +73,13 @@
 
 def _make_follower(book=None):
     directory = Directory()
-    follower = InstancesFollower(
+    follower = InstancesSubscriber(
         context=SimpleNamespace(
             directory=directory,
-            book=book or LoadTracker(),
+            load_tracker=book or LoadTracker(),
             throttle=make_throttle(),
             settings=make_settings(),
-            table=None,
+            route_table=None,
         ),
         on_change=lambda: None,
         on_restart=lambda _: None,
@@ -102,7 +102,7 @@
     follower, context.directory = _make_follower()
     found = _store(good=msgspec.json.encode(_ENTRY), bad=_make_entry(change))
     for asked_ms in (0, 600, 1200):
-        follower.take(found, asked_ms)
+        follower.apply_entries(found, asked_ms)
 
 
 @then('it names no instance, and this is logged once')
@@ -136,7 +136,9 @@
     @for_all(text=_TEXTS)
     def check(text):
         follower, directory = _make_follower()
-        follower.take(_store(good=msgspec.json.encode(_ENTRY), odd=text), 0)
+        follower.apply_entries(
+            _store(good=msgspec.json.encode(_ENTRY), odd=text), 0
+        )
         names = [one.instance for one in directory.get_pool('p')]
         assert 'good' in names, names
         odd = decode_instance('servers/odd', text)
@@ -165,7 +167,7 @@
 def make_failed(context, failures, running):
     context.book = LoadTracker()
     context.follower, _ = _make_follower(context.book)
-    context.follower.take_instances([_make_instance(1000)], 0)
+    context.follower.apply_instances([_make_instance(1000)], 0)
     for _ in range(failures):
         context.book.record_failure('i1', 0)
     context.record = context.book.get('i1')
@@ -174,12 +176,12 @@
 
 @when('a list shows that it has started again')
 def show_restarted(context):
-    context.follower.take_instances([_make_instance(5000)], 1000)
+    context.follower.apply_instances([_make_instance(5000)], 1000)
 
 
 @when('a list shows it as before')
 def show_again(context):
-    context.follower.take_instances([_make_instance(1000)], 1000)
+    context.follower.apply_instances([_make_instance(1000)], 1000)
 
 
 @then('it is trusted and counted empty')
@@ -269,7 +271,7 @@
     assert made.outcome is PieceOutcome.done
     starts = [call.instance.started_unix_ms for call in context.sent]
     assert starts == [1000, 5000], starts
-    record = stage.get_context().book.get('i1')
+    record = stage.get_context().load_tracker.get('i1')
     assert record.failures == 0, record
 
 
--- a/tests/features/steps/lapsed_entries.py
+++ b/tests/features/steps/lapsed_entries.py
@@ -30,7 +30,7 @@
         self.directory = Directory()
         self.left_ms: dict[str, float] = {}
 
-    def take(self, found, proved_ms) -> None:
+    def apply_entries(self, found, proved_ms) -> None:
         listed = [
             UpstreamInstance(
                 instance=key,
@@ -45,7 +45,7 @@
         now_ms = asyncio.get_running_loop().time() * 1000
         self.left_ms.update(dict.fromkeys(change.left, now_ms))
 
-    def note_lost(self, _detail) -> None:
+    def handle_store_unavailable(self, _detail) -> None:
         self.directory.record_outage()
 
 
--- a/tests/features/steps/late_service.py
+++ b/tests/features/steps/late_service.py
@@ -240,18 +240,18 @@
     context.stage = _Stage()
     waiting = asyncio.Event()
 
-    def put_table(table) -> None:
-        context.owner.table = table
+    def set_route_table(table) -> None:
+        context.owner.route_table = table
         waiting.set()
 
-    async def wait_table(timeout_ms) -> None:
-        await GatewayContext.wait_table(context.owner, timeout_ms)
+    async def wait_for_route_table(timeout_ms) -> None:
+        await GatewayContext.wait_for_route_table(context.owner, timeout_ms)
 
     context.owner = SimpleNamespace(
-        table=None,
-        _table_came=waiting,
-        put_table=put_table,
-        wait_table=wait_table,
+        route_table=None,
+        _has_route_table=waiting,
+        set_route_table=set_route_table,
+        wait_for_route_table=wait_for_route_table,
     )
 
 
@@ -267,7 +267,9 @@
         if after_ms is not None:
             table = SimpleNamespace(match=lambda *_: None)
             loop = asyncio.get_running_loop()
-            loop.call_later(after_ms / 1000, context.owner.put_table, table)
+            loop.call_later(
+                after_ms / 1000, context.owner.set_route_table, table
+            )
         return await admission.admit(request, 0)
 
     context.answer = context.stage.run(ask())
--- a/tests/features/steps/lost_calls.py
+++ b/tests/features/steps/lost_calls.py
@@ -93,14 +93,14 @@
 def _make_outcomes(pool: PiecePool) -> CallResultHandler:
     return CallResultHandler(
         context=SimpleNamespace(
-            book=pool.book,
+            load_tracker=pool.book,
             metrics=Metrics(),
-            table=SimpleNamespace(
+            route_table=SimpleNamespace(
                 pools={'p': SimpleNamespace(pieces=pool.profile)},
             ),
             directory=SimpleNamespace(get_pool=lambda _: pool.instances),
             get_budget=lambda _: SimpleNamespace(withdraw=lambda: True),
-            suspect=lambda one: pool.book.record_failure(one.instance, 0),
+            mark_suspect=lambda one: pool.book.record_failure(one.instance, 0),
             quarantine=SimpleNamespace(get_remaining_ms=lambda _: 0),
         ),
         release=lambda *_: None,
@@ -333,7 +333,7 @@
     )
     gateway = GatewayContext(
         settings=settings,
-        ask_to_stop=lambda: stops.append(True),
+        request_shutdown=lambda: stops.append(True),
     )
     gateway.spawn_loop(_fail())
     await asyncio.sleep(0)
--- a/tests/features/steps/slow_calls.py
+++ b/tests/features/steps/slow_calls.py
@@ -24,15 +24,15 @@
     described = SimpleNamespace(pieces=context.pool.profile)
     context.outcomes = CallResultHandler(
         context=SimpleNamespace(
-            book=context.pool.book,
+            load_tracker=context.pool.book,
             metrics=Metrics(),
-            table=SimpleNamespace(pools={'p': described}),
+            route_table=SimpleNamespace(pools={'p': described}),
             directory=SimpleNamespace(
                 get_pool=lambda _: context.pool.instances,
             ),
             get_budget=lambda _: SimpleNamespace(withdraw=lambda: True),
             quarantine=SimpleNamespace(get_remaining_ms=lambda _: 0),
-            suspect=lambda instance: context.pool.book.record_failure(
+            mark_suspect=lambda instance: context.pool.book.record_failure(
                 instance.instance,
                 context.now_ms,
             ),
--- a/tests/features/steps/store_bounds.py
+++ b/tests/features/steps/store_bounds.py
@@ -83,13 +83,13 @@
     def __init__(self) -> None:
         self.seen_ms: dict[int, float] = {}
 
-    def take(self, found, _asked_ms) -> None:
+    def apply_entries(self, found, _asked_ms) -> None:
         stored = found.get(_CONFIGURATION)
         if stored is not None:
             now_ms = asyncio.get_running_loop().time() * 1000
             self.seen_ms.setdefault(stored.mod_revision, now_ms)
 
-    def note_lost(self, _detail) -> None:
+    def handle_store_unavailable(self, _detail) -> None:
         """Go on."""
 
 
--- a/tests/features/steps/store_news.py
+++ b/tests/features/steps/store_news.py
@@ -10,7 +10,7 @@
 from measure.replica_fleet.fleet import play
 from measure.replica_fleet.fleet_plan import FleetPlan, Trouble
 from ragworthollow.conf import global_settings
-from ragworthollow.replica import derive_paces
+from ragworthollow.replica import derive_poll_intervals
 from tests.fixtures.news_model import NewsModel
 from tests.fixtures.news_variants import VARIANTS
 from tests.standins.thin_link import BYTES_PER_MBIT
@@ -143,7 +143,7 @@
 @when('the paces for bounds from {least_ms:d} to {most_ms:d} ms are derived')
 def derive(context, least_ms, most_ms):
     context.paces = {
-        bound_ms: derive_paces(
+        bound_ms: derive_poll_intervals(
             bound_ms=bound_ms,
             heartbeat_ms=global_settings.INSTANCE_HEARTBEAT_MS,
         )
@@ -157,9 +157,9 @@
 def check_fit(context, share, least):
     lost_ms = global_settings.STORE_TIMEOUT_MS + global_settings.STORE_RETRY_MS
     for bound_ms, paces in context.paces.items():
-        assert paces.get_read_ms(0) <= paces.trust_ms
+        assert paces.get_reader_staleness_ms(0) <= paces.max_staleness_ms
         if bound_ms >= least:
-            assert paces.trust_ms + lost_ms < share * bound_ms, bound_ms
+            assert paces.max_staleness_ms + lost_ms < share * bound_ms, bound_ms
 
 
 @then('no outage that lets entries lapse goes unnoticed')
@@ -167,7 +167,7 @@
     # Three heartbeats of silence end an entry, of which one may just be due.
     lapse_ms = 2 * global_settings.INSTANCE_HEARTBEAT_MS
     for paces in context.paces.values():
-        noticed_ms = paces.trust_ms + global_settings.STORE_TIMEOUT_MS
+        noticed_ms = paces.max_staleness_ms + global_settings.STORE_TIMEOUT_MS
         assert noticed_ms <= lapse_ms, paces
 
 
--- a/tests/features/steps/store_restored.py
+++ b/tests/features/steps/store_restored.py
@@ -182,7 +182,7 @@
     stage = context.gateway_stage
     stage.run(stage.add_gateway('g2'))
     gateway = stage.get_context('g2')
-    stage.run(stage.wait_for(lambda: gateway.table is not None))
+    stage.run(stage.wait_for(lambda: gateway.route_table is not None))
 
 
 @given('another gateway has started and is registered')
@@ -212,7 +212,7 @@
 def _check_version(context, version, name) -> None:
     stage = context.gateway_stage
     gateway = stage.get_context(name)
-    stage.run(stage.wait_for(lambda: gateway.table.version == version))
+    stage.run(stage.wait_for(lambda: gateway.route_table.version == version))
 
 
 @then('a caller of {path:S} is answered {status:d}')
@@ -281,13 +281,13 @@
     replica.replace(_snapshot({_DRAIN: drain, _CONFIGURATION: newer}, 8, 0), 0)
     replica.replace(_snapshot({_CONFIGURATION: older}, 3, 1), 100)
     held_ms = 100 + global_settings.RESTORED_RETENTION_MS
-    assert _DRAIN in replica.get_found(held_ms - 1)
-    found = replica.get_found(held_ms)
+    assert _DRAIN in replica.get_entries(held_ms - 1)
+    found = replica.get_entries(held_ms)
     assert _DRAIN not in found
     assert found[_CONFIGURATION] == newer
     written = Stored(text='{"version": 6}', mod_revision=4)
     replica.replace(_snapshot({_CONFIGURATION: written}, 4, 1), held_ms)
-    assert replica.get_found(held_ms)[_CONFIGURATION] == written
+    assert replica.get_entries(held_ms)[_CONFIGURATION] == written
 
 
 def _snapshot(found, revision: int, timeline: int) -> StoreSnapshot:
@@ -320,16 +320,18 @@
             replica=self._replica,
         )
 
-    def take(self, _found, _asked_ms) -> None:
+    def apply_entries(self, _found, _asked_ms) -> None:
         """Compare the copy itself."""
-        held = {key: one.text for key, one in self._replica.view.found.items()}
+        held = {
+            key: one.text for key, one in self._replica.view.entries.items()
+        }
         there = {
             key: base64.b64decode(one['value']).decode()
             for key, one in self.session.found.items()
         }
         self.is_same &= held == there
 
-    def note_lost(self, _detail) -> None:
+    def handle_store_unavailable(self, _detail) -> None:
         """Go on."""
 
     async def play(self, moves) -> None:
--- a/tests/features/steps/store_view.py
+++ b/tests/features/steps/store_view.py
@@ -58,12 +58,12 @@
         )
         self.is_same = True
 
-    def take(self, found, _asked_ms) -> None:
+    def apply_entries(self, found, _asked_ms) -> None:
         held = {key: one.mod_revision for key, one in found.items()}
         there = {key: one['rev'] for key, one in self.session.found.items()}
         self.is_same &= held == there
 
-    def note_lost(self, _detail) -> None:
+    def handle_store_unavailable(self, _detail) -> None:
         """Go on."""
 
     async def play(self, moves) -> None:
