--- a/measure/fleet_model/gateway.py
+++ b/measure/fleet_model/gateway.py
@@ -28,14 +28,14 @@
 )
 from ragworthollow.utils import get_monotonic_ms
 from ragworthollow_daemon.gateway.context import GatewayContext
-from ragworthollow_daemon.gateway.deferral import DeferralQueue
+from ragworthollow_daemon.gateway.deferral_queue import DeferralQueue
+from ragworthollow_daemon.gateway.latency_estimate import LatencyEstimate
 from ragworthollow_daemon.gateway.lateness import refuse_if_late
 from ragworthollow_daemon.gateway.piece_client import PieceClient
 from ragworthollow_daemon.gateway.piece_service import PieceService
 from ragworthollow_daemon.gateway.refusals import refuse
 from ragworthollow_daemon.gateway.request_job import RequestJob
-from ragworthollow_daemon.gateway.stage_way import LatencyEstimate
-from ragworthollow_daemon.gateway.stage_work import StageGraphRunner
+from ragworthollow_daemon.gateway.stage_graph_runner import StageGraphRunner
 from ragworthollow_daemon.gateway.upstream_failure import UpstreamFailure
 
 ENGINES = 'engines'
--- a/measure/replica_fleet/model_gateway.py
+++ b/measure/replica_fleet/model_gateway.py
@@ -12,8 +12,8 @@
 from ragworthollow.platform.store_position import StorePosition
 from ragworthollow.replica import PollIntervals, Replica
 from ragworthollow.utils import get_boottime_ms
-from ragworthollow_daemon.gateway.heard_news import ReceivedUpdate
-from ragworthollow_daemon.gateway.store_follower import StorePoller
+from ragworthollow_daemon.gateway.received_update import ReceivedUpdate
+from ragworthollow_daemon.gateway.store_poller import StorePoller
 
 _MILLISECONDS = 1000
 
--- a/packages/ragworthollow-ctl/src/ragworthollow_ctl/commands/status.py
+++ b/packages/ragworthollow-ctl/src/ragworthollow_ctl/commands/status.py
@@ -4,7 +4,7 @@
 import sys
 
 from ragworthollow.configuration.snapshot import Snapshot
-from ragworthollow.membership.fleet_line import ProcessStatus
+from ragworthollow.membership.process_status import ProcessStatus
 from ragworthollow_ctl.service_client import make_client
 
 _BEHIND = 1
--- a/packages/ragworthollow-daemon/src/ragworthollow_daemon/entry/operator_routes.py
+++ b/packages/ragworthollow-daemon/src/ragworthollow_daemon/entry/operator_routes.py
@@ -15,7 +15,7 @@
 from ragworthollow.configuration.publisher import Publisher
 from ragworthollow.configuration.snapshot import Snapshot
 from ragworthollow.logs.events import log_event
-from ragworthollow.membership.fleet_line import ProcessStatus
+from ragworthollow.membership.process_status import ProcessStatus
 from ragworthollow.outcomes import Reason
 from ragworthollow.transport.responses import Problem, respond
 from ragworthollow.utils import get_wall_ms, hash_secret
--- a/packages/ragworthollow-daemon/src/ragworthollow_daemon/gateway/attempt.py
+++ b/packages/ragworthollow-daemon/src/ragworthollow_daemon/gateway/attempt.py
@@ -16,9 +16,11 @@
 from ragworthollow.transport.timeouts import make_timeout
 from ragworthollow.upstreams import UpstreamInstance
 from ragworthollow.utils import get_boottime_ms, get_monotonic_ms
-from ragworthollow_daemon.gateway.answer_notices import apply_response_metadata
 from ragworthollow_daemon.gateway.context import GatewayContext
 from ragworthollow_daemon.gateway.request_job import RequestJob
+from ragworthollow_daemon.gateway.response_metadata import (
+    apply_response_metadata,
+)
 from ragworthollow_daemon.gateway.upstream_failure import UpstreamFailure
 
 _STEP = 'attempt'
--- a/packages/ragworthollow-daemon/src/ragworthollow_daemon/gateway/call_outcomes.py
+++ b/packages/ragworthollow-daemon/src/ragworthollow_daemon/gateway/call_result_handler.py
@@ -13,8 +13,10 @@
     WaitingPiece,
 )
 from ragworthollow.utils import get_monotonic_ms
-from ragworthollow_daemon.gateway.call_space import ResultSpaceRecorder
 from ragworthollow_daemon.gateway.context import GatewayContext
+from ragworthollow_daemon.gateway.result_space_recorder import (
+    ResultSpaceRecorder,
+)
 from ragworthollow_daemon.gateway.upstream_failure import UpstreamFailure
 
 _STEP = 'pieces'
--- a/packages/ragworthollow-daemon/src/ragworthollow_daemon/gateway/call_runner.py
+++ b/packages/ragworthollow-daemon/src/ragworthollow_daemon/gateway/call_runner.py
@@ -7,7 +7,7 @@
 
 from ragworthollow.outcomes import Outcome, Reason
 from ragworthollow.pieces import PieceCall, PieceResult
-from ragworthollow_daemon.gateway.call_watch import CallMonitor, QueryIsBusy
+from ragworthollow_daemon.gateway.call_monitor import CallMonitor, QueryIsBusy
 from ragworthollow_daemon.gateway.context import GatewayContext
 from ragworthollow_daemon.gateway.upstream_failure import UpstreamFailure
 
--- a/packages/ragworthollow-daemon/src/ragworthollow_daemon/gateway/deferral.py
+++ b/packages/ragworthollow-daemon/src/ragworthollow_daemon/gateway/deferral_queue.py
@@ -8,10 +8,10 @@
 from ragworthollow.logs.events import log_event
 from ragworthollow.utils import get_monotonic_ms
 from ragworthollow_daemon.gateway.context import GatewayContext
-from ragworthollow_daemon.gateway.deferral_chance import DeferralStartRate
+from ragworthollow_daemon.gateway.deferral_start_rate import DeferralStartRate
+from ragworthollow_daemon.gateway.latency_estimate import LatencyEstimate
 from ragworthollow_daemon.gateway.lateness import GetWaits
 from ragworthollow_daemon.gateway.request_job import RequestJob
-from ragworthollow_daemon.gateway.stage_way import LatencyEstimate
 
 _STEP = 'deferral'
 _LEAST_URGENT = global_settings.PRIORITIES - 1
--- a/packages/ragworthollow-daemon/src/ragworthollow_daemon/gateway/forwarder.py
+++ b/packages/ragworthollow-daemon/src/ragworthollow_daemon/gateway/forwarder.py
@@ -9,7 +9,6 @@
 from ragworthollow.conf import global_settings
 from ragworthollow.outcomes import Outcome, Reason
 from ragworthollow.utils import get_monotonic_ms
-from ragworthollow_daemon.gateway.answer_progress import ResponseProgress
 from ragworthollow_daemon.gateway.attempt import (
     AttemptPlan,
     OpenResult,
@@ -24,6 +23,7 @@
 )
 from ragworthollow_daemon.gateway.context import GatewayContext
 from ragworthollow_daemon.gateway.request_job import RequestJob
+from ragworthollow_daemon.gateway.response_progress import ResponseProgress
 from ragworthollow_daemon.gateway.stream_relay import StreamRelay
 from ragworthollow_daemon.gateway.upstream_failure import UpstreamFailure
 
--- a/packages/ragworthollow-daemon/src/ragworthollow_daemon/gateway/host_pings.py
+++ b/packages/ragworthollow-daemon/src/ragworthollow_daemon/gateway/host_pinger.py
@@ -20,15 +20,15 @@
 )
 from ragworthollow.transport.timeouts import make_timeout
 from ragworthollow.utils import get_boottime_ms
-from ragworthollow_daemon.gateway.answer_notices import (
-    apply_leaving,
-    get_leaving_ages_ms,
-)
 from ragworthollow_daemon.gateway.context import GatewayContext
-from ragworthollow_daemon.gateway.limit_notices import (
+from ragworthollow_daemon.gateway.limit_updates import (
     apply_limit_updates,
     make_limit_updates,
 )
+from ragworthollow_daemon.gateway.response_metadata import (
+    apply_leaving,
+    get_leaving_ages_ms,
+)
 
 _STEP = 'membership'
 
--- a/packages/ragworthollow-daemon/src/ragworthollow_daemon/gateway/lateness.py
+++ b/packages/ragworthollow-daemon/src/ragworthollow_daemon/gateway/lateness.py
@@ -4,8 +4,8 @@
 
 from ragworthollow.conf import global_settings
 from ragworthollow.outcomes import Outcome, Reason
+from ragworthollow_daemon.gateway.latency_estimate import LatencyEstimate
 from ragworthollow_daemon.gateway.request_job import RequestJob
-from ragworthollow_daemon.gateway.stage_way import LatencyEstimate
 from ragworthollow_daemon.gateway.upstream_failure import UpstreamFailure
 
 _STEP = 'front'
--- a/packages/ragworthollow-daemon/src/ragworthollow_daemon/gateway/membership.py
+++ b/packages/ragworthollow-daemon/src/ragworthollow_daemon/gateway/membership.py
@@ -16,7 +16,7 @@
 from ragworthollow.transport.host_messages import CHANGE_PATH, MemberChange
 from ragworthollow.utils import get_monotonic_ms
 from ragworthollow_daemon.gateway.context import GatewayContext
-from ragworthollow_daemon.gateway.peer_notes import notify_peer
+from ragworthollow_daemon.gateway.peer_notifications import notify_peer
 
 _PREFIX = 'gateways/'
 _STEP = 'membership'
--- a/packages/ragworthollow-daemon/src/ragworthollow_daemon/gateway/peer_routes.py
+++ b/packages/ragworthollow-daemon/src/ragworthollow_daemon/gateway/peer_routes.py
@@ -25,16 +25,8 @@
 )
 from ragworthollow.transport.responses import Problem, respond
 from ragworthollow.utils import get_boottime_ms, get_monotonic_ms
-from ragworthollow_daemon.gateway.answer_notices import (
-    apply_leaving,
-    get_leaving_ages_ms,
-)
 from ragworthollow_daemon.gateway.context import GatewayContext
-from ragworthollow_daemon.gateway.gate_handover import (
-    TRANSFER_PATH,
-    SchedulerHandover,
-)
-from ragworthollow_daemon.gateway.limit_notices import (
+from ragworthollow_daemon.gateway.limit_updates import (
     apply_limit_updates,
     make_limit_updates,
 )
@@ -44,6 +36,14 @@
     notify_released,
 )
 from ragworthollow_daemon.gateway.piece_service import PieceService
+from ragworthollow_daemon.gateway.response_metadata import (
+    apply_leaving,
+    get_leaving_ages_ms,
+)
+from ragworthollow_daemon.gateway.scheduler_handover import (
+    TRANSFER_PATH,
+    SchedulerHandover,
+)
 from ragworthollow_daemon.gateway.update_client import UPDATE_PATH
 
 _BAD_REQUEST = 400
--- a/packages/ragworthollow-daemon/src/ragworthollow_daemon/gateway/piece_call.py
+++ b/packages/ragworthollow-daemon/src/ragworthollow_daemon/gateway/piece_call.py
@@ -16,8 +16,10 @@
 )
 from ragworthollow.transport.timeouts import make_timeout
 from ragworthollow.utils import get_boottime_ms, get_monotonic_ms
-from ragworthollow_daemon.gateway.answer_notices import apply_response_metadata
 from ragworthollow_daemon.gateway.context import GatewayContext
+from ragworthollow_daemon.gateway.response_metadata import (
+    apply_response_metadata,
+)
 from ragworthollow_daemon.gateway.upstream_failure import UpstreamFailure
 
 _STEP = 'pieces'
--- a/packages/ragworthollow-daemon/src/ragworthollow_daemon/gateway/piece_client.py
+++ b/packages/ragworthollow-daemon/src/ragworthollow_daemon/gateway/piece_client.py
@@ -21,7 +21,7 @@
     request_pieces,
 )
 from ragworthollow_daemon.gateway.piece_service import PieceService
-from ragworthollow_daemon.gateway.result_holding import ResultUseReporter
+from ragworthollow_daemon.gateway.result_use_reporter import ResultUseReporter
 
 _STEP = 'pieces'
 
--- a/packages/ragworthollow-daemon/src/ragworthollow_daemon/gateway/piece_exchange.py
+++ b/packages/ragworthollow-daemon/src/ragworthollow_daemon/gateway/piece_exchange.py
@@ -16,7 +16,7 @@
 )
 from ragworthollow.utils import get_monotonic_ms
 from ragworthollow_daemon.gateway.context import GatewayContext
-from ragworthollow_daemon.gateway.peer_notes import notify_peer
+from ragworthollow_daemon.gateway.peer_notifications import notify_peer
 
 _OK = 200
 RUN_PATH = '/v1/pieces/run'
--- a/packages/ragworthollow-daemon/src/ragworthollow_daemon/gateway/piece_service.py
+++ b/packages/ragworthollow-daemon/src/ragworthollow_daemon/gateway/piece_service.py
@@ -16,15 +16,15 @@
     WaitingPiece,
 )
 from ragworthollow.utils import get_monotonic_ms
-from ragworthollow_daemon.gateway.asker_book import RequesterTracker
-from ragworthollow_daemon.gateway.call_outcomes import CallResultHandler
+from ragworthollow_daemon.gateway.call_monitor import QueryIsBusy, query_is_busy
+from ragworthollow_daemon.gateway.call_result_handler import CallResultHandler
 from ragworthollow_daemon.gateway.call_runner import CallRunner, SendCall
-from ragworthollow_daemon.gateway.call_watch import QueryIsBusy, query_is_busy
 from ragworthollow_daemon.gateway.context import GatewayContext
-from ragworthollow_daemon.gateway.gate_book import SchedulerRegistry
 from ragworthollow_daemon.gateway.piece_call import send_call
 from ragworthollow_daemon.gateway.pool_throttle import PoolThrottle
+from ragworthollow_daemon.gateway.requester_tracker import RequesterTracker
 from ragworthollow_daemon.gateway.result_releases import ResultReleaser
+from ragworthollow_daemon.gateway.scheduler_registry import SchedulerRegistry
 
 _STEP = 'pieces'
 
--- a/packages/ragworthollow-daemon/src/ragworthollow_daemon/gateway/quarantine.py
+++ b/packages/ragworthollow-daemon/src/ragworthollow_daemon/gateway/quarantine.py
@@ -19,7 +19,7 @@
 from ragworthollow.quarantine.operator_messages import QuarantinedRequest
 from ragworthollow.upstreams import Directory, UpstreamInstance
 from ragworthollow.utils import get_boottime_ms
-from ragworthollow_daemon.gateway.crash_watch import CrashDetector, Spawn
+from ragworthollow_daemon.gateway.crash_detector import CrashDetector, Spawn
 
 _STEP = 'quarantine'
 
--- a/packages/ragworthollow-daemon/src/ragworthollow_daemon/gateway/front.py
+++ b/packages/ragworthollow-daemon/src/ragworthollow_daemon/gateway/request_handler.py
@@ -10,7 +10,6 @@
 from ragworthollow.platform.request_wire import read_terms
 from ragworthollow.utils import get_boottime_ms, get_monotonic_ms
 from ragworthollow_daemon.gateway.admission import Admission
-from ragworthollow_daemon.gateway.answer_progress import ResponseProgress
 from ragworthollow_daemon.gateway.context import GatewayContext
 from ragworthollow_daemon.gateway.piece_client import PieceClient
 from ragworthollow_daemon.gateway.refusals import refuse
@@ -19,6 +18,7 @@
     RequestRunner,
     ResponseResult,
 )
+from ragworthollow_daemon.gateway.response_progress import ResponseProgress
 from ragworthollow_daemon.gateway.stream_relay import StreamAborted
 from ragworthollow_daemon.gateway.upstream_failure import UpstreamFailure
 
--- a/packages/ragworthollow-daemon/src/ragworthollow_daemon/gateway/request_job.py
+++ b/packages/ragworthollow-daemon/src/ragworthollow_daemon/gateway/request_job.py
@@ -6,7 +6,10 @@
 
 from ragworthollow.exchange import RequestParameters
 from ragworthollow.routes import KeyHolder, Route, RouteTable
-from ragworthollow.routes.homes import AllowedRegions, intersect_regions
+from ragworthollow.routes.allowed_regions import (
+    AllowedRegions,
+    intersect_regions,
+)
 from ragworthollow.utils import get_monotonic_ms
 
 
--- a/packages/ragworthollow-daemon/src/ragworthollow_daemon/gateway/request_runner.py
+++ b/packages/ragworthollow-daemon/src/ragworthollow_daemon/gateway/request_runner.py
@@ -7,21 +7,21 @@
 from result import Err, Result
 
 from ragworthollow.outcomes import Outcome, Reason
-from ragworthollow.routes.homes import is_region_allowed
+from ragworthollow.routes.allowed_regions import is_region_allowed
 from ragworthollow_daemon.gateway.admission import (
     make_refusal,
     make_shutdown_failure,
 )
-from ragworthollow_daemon.gateway.answer_progress import ResponseProgress
 from ragworthollow_daemon.gateway.context import GatewayContext
-from ragworthollow_daemon.gateway.deferral import DeferralQueue
+from ragworthollow_daemon.gateway.deferral_queue import DeferralQueue
 from ragworthollow_daemon.gateway.forwarder import Forwarder
+from ragworthollow_daemon.gateway.latency_estimate import LatencyEstimate
 from ragworthollow_daemon.gateway.lateness import refuse_if_late
 from ragworthollow_daemon.gateway.piece_client import PieceClient
 from ragworthollow_daemon.gateway.pool_throttle import PoolThrottle
 from ragworthollow_daemon.gateway.request_job import RequestJob
-from ragworthollow_daemon.gateway.stage_way import LatencyEstimate
-from ragworthollow_daemon.gateway.stage_work import StageGraphRunner
+from ragworthollow_daemon.gateway.response_progress import ResponseProgress
+from ragworthollow_daemon.gateway.stage_graph_runner import StageGraphRunner
 from ragworthollow_daemon.gateway.upstream_failure import UpstreamFailure
 
 _DEFERRABLE_REASONS = frozenset((Reason.overloaded, Reason.stage_late))
--- a/packages/ragworthollow-daemon/src/ragworthollow_daemon/gateway/answer_notices.py
+++ b/packages/ragworthollow-daemon/src/ragworthollow_daemon/gateway/response_metadata.py
@@ -8,7 +8,7 @@
 from ragworthollow.upstreams import UpstreamInstance
 from ragworthollow.utils import get_monotonic_ms
 from ragworthollow_daemon.gateway.context import GatewayContext
-from ragworthollow_daemon.gateway.limit_notices import record_limit
+from ragworthollow_daemon.gateway.limit_updates import record_limit
 
 _STEP = 'instances'
 
--- a/packages/ragworthollow-daemon/src/ragworthollow_daemon/gateway/result_releases.py
+++ b/packages/ragworthollow-daemon/src/ragworthollow_daemon/gateway/result_releases.py
@@ -15,9 +15,11 @@
 from ragworthollow.transport.timeouts import make_timeout
 from ragworthollow.upstreams import UpstreamInstance
 from ragworthollow.utils import get_boottime_ms
-from ragworthollow_daemon.gateway.answer_notices import apply_response_metadata
 from ragworthollow_daemon.gateway.context import GatewayContext
 from ragworthollow_daemon.gateway.pool_throttle import PoolThrottle
+from ragworthollow_daemon.gateway.response_metadata import (
+    apply_response_metadata,
+)
 
 _STEP = 'pieces'
 _JSON = 'application/json'
--- a/packages/ragworthollow-daemon/src/ragworthollow_daemon/gateway/result_holding.py
+++ b/packages/ragworthollow-daemon/src/ragworthollow_daemon/gateway/result_use_reporter.py
@@ -11,13 +11,13 @@
 from ragworthollow.transport.piece_messages import GateTransfer
 from ragworthollow.utils import get_monotonic_ms
 from ragworthollow_daemon.gateway.context import GatewayContext
-from ragworthollow_daemon.gateway.gate_handover import (
+from ragworthollow_daemon.gateway.peer_notifications import notify_peer
+from ragworthollow_daemon.gateway.piece_service import PieceService
+from ragworthollow_daemon.gateway.results_in_use import ResultsInUse
+from ragworthollow_daemon.gateway.scheduler_handover import (
     TRANSFER_PATH,
     make_result_messages,
 )
-from ragworthollow_daemon.gateway.held_results import ResultsInUse
-from ragworthollow_daemon.gateway.peer_notes import notify_peer
-from ragworthollow_daemon.gateway.piece_service import PieceService
 
 
 class ResultUseReporter:
--- a/packages/ragworthollow-daemon/src/ragworthollow_daemon/gateway/role.py
+++ b/packages/ragworthollow-daemon/src/ragworthollow_daemon/gateway/role.py
@@ -13,9 +13,9 @@
     ConfigurationSubscriber,
 )
 from ragworthollow_daemon.gateway.context import GatewayContext
-from ragworthollow_daemon.gateway.front import RequestHandler
-from ragworthollow_daemon.gateway.gate_handover import SchedulerHandover
-from ragworthollow_daemon.gateway.instances_follower import InstancesSubscriber
+from ragworthollow_daemon.gateway.instances_subscriber import (
+    InstancesSubscriber,
+)
 from ragworthollow_daemon.gateway.membership import Membership
 from ragworthollow_daemon.gateway.peer_routes import PeerRoutes
 from ragworthollow_daemon.gateway.piece_client import PieceClient
@@ -24,6 +24,8 @@
     QuarantineRecords,
 )
 from ragworthollow_daemon.gateway.readiness import Readiness
+from ragworthollow_daemon.gateway.request_handler import RequestHandler
+from ragworthollow_daemon.gateway.scheduler_handover import SchedulerHandover
 from ragworthollow_daemon.gateway.status_routes import StatusRoutes
 from ragworthollow_daemon.gateway.store_poller_factory import (
     make_host_pinger,
--- a/packages/ragworthollow-daemon/src/ragworthollow_daemon/gateway/gate_handover.py
+++ b/packages/ragworthollow-daemon/src/ragworthollow_daemon/gateway/scheduler_handover.py
@@ -16,8 +16,8 @@
 )
 from ragworthollow.utils import get_monotonic_ms
 from ragworthollow_daemon.gateway.context import GatewayContext
-from ragworthollow_daemon.gateway.gate_book import SchedulerRegistry
-from ragworthollow_daemon.gateway.peer_notes import notify_peer
+from ragworthollow_daemon.gateway.peer_notifications import notify_peer
+from ragworthollow_daemon.gateway.scheduler_registry import SchedulerRegistry
 
 _STEP = 'pieces'
 TRANSFER_PATH = '/v1/gates/transfer'
--- a/packages/ragworthollow-daemon/src/ragworthollow_daemon/gateway/stage_work.py
+++ b/packages/ragworthollow-daemon/src/ragworthollow_daemon/gateway/stage_graph_runner.py
@@ -6,10 +6,10 @@
 
 from ragworthollow.outcomes import Outcome, Reason
 from ragworthollow.pieces import Piece, PieceOutcome, PieceResult
-from ragworthollow.pieces.nearness import choose_local_domain
+from ragworthollow.pieces.locality import choose_local_domain
+from ragworthollow_daemon.gateway.latency_estimate import LatencyEstimate
 from ragworthollow_daemon.gateway.piece_client import PieceClient
 from ragworthollow_daemon.gateway.request_job import RequestJob
-from ragworthollow_daemon.gateway.stage_way import LatencyEstimate
 from ragworthollow_daemon.gateway.upstream_failure import UpstreamFailure
 
 _STEP = 'stages'
--- a/packages/ragworthollow-daemon/src/ragworthollow_daemon/gateway/store_follower.py
+++ b/packages/ragworthollow-daemon/src/ragworthollow_daemon/gateway/store_poller.py
@@ -14,8 +14,8 @@
 from ragworthollow.replica import PollIntervals, Replica, StoreUpdate
 from ragworthollow.utils import get_boottime_ms, get_monotonic_ms
 from ragworthollow_daemon.gateway.context import GatewayContext
-from ragworthollow_daemon.gateway.heard_news import ReceivedUpdate
-from ragworthollow_daemon.gateway.poll_pace import get_retry_delay_ms
+from ragworthollow_daemon.gateway.received_update import ReceivedUpdate
+from ragworthollow_daemon.gateway.retry_delay import get_retry_delay_ms
 from ragworthollow_daemon.gateway.store_reporter import StoreReporter
 
 AskPeers = Callable[[StorePosition], Awaitable[Sequence[ReceivedUpdate]]]
--- a/packages/ragworthollow-daemon/src/ragworthollow_daemon/gateway/store_poller_factory.py
+++ b/packages/ragworthollow-daemon/src/ragworthollow_daemon/gateway/store_poller_factory.py
@@ -7,8 +7,8 @@
 from ragworthollow.pieces import AnnouncedWork
 from ragworthollow.replica import derive_poll_intervals
 from ragworthollow_daemon.gateway.context import GatewayContext
-from ragworthollow_daemon.gateway.host_pings import HostPinger
-from ragworthollow_daemon.gateway.store_follower import (
+from ragworthollow_daemon.gateway.host_pinger import HostPinger
+from ragworthollow_daemon.gateway.store_poller import (
     StorePoller,
     StoreSubscriber,
 )
--- a/packages/ragworthollow-daemon/src/ragworthollow_daemon/gateway/stream_relay.py
+++ b/packages/ragworthollow-daemon/src/ragworthollow_daemon/gateway/stream_relay.py
@@ -5,9 +5,9 @@
 from aiohttp import ClientResponse, web
 
 from ragworthollow.platform.answer_wire import make_caller_headers
-from ragworthollow_daemon.gateway.answer_progress import ResponseProgress
-from ragworthollow_daemon.gateway.event_splitter import EventBuffer
+from ragworthollow_daemon.gateway.event_buffer import EventBuffer
 from ragworthollow_daemon.gateway.request_job import RequestJob
+from ragworthollow_daemon.gateway.response_progress import ResponseProgress
 from ragworthollow_daemon.gateway.upstream_failure import UpstreamFailure
 
 
--- a/packages/ragworthollow-daemon/src/ragworthollow_daemon/gateway/update_client.py
+++ b/packages/ragworthollow-daemon/src/ragworthollow_daemon/gateway/update_client.py
@@ -16,7 +16,7 @@
 from ragworthollow.transport.timeouts import make_timeout
 from ragworthollow.utils import get_boottime_ms
 from ragworthollow_daemon.gateway.context import GatewayContext
-from ragworthollow_daemon.gateway.heard_news import ReceivedUpdate
+from ragworthollow_daemon.gateway.received_update import ReceivedUpdate
 
 UPDATE_PATH = '/v1/store/news'
 _STEP = 'store_news'
--- a/packages/ragworthollow/src/ragworthollow/admission/__init__.py
+++ b/packages/ragworthollow/src/ragworthollow/admission/__init__.py
@@ -1,12 +1,12 @@
 """Admission control: decide which calls run, wait or are rejected."""
 
+from ragworthollow.admission.capacity_share import CapacityShare, get_shares
 from ragworthollow.admission.decisions import (
     Acceptance,
     DispatchResult,
     Rejection,
 )
 from ragworthollow.admission.queue import AdmissionQueue
-from ragworthollow.admission.share import CapacityShare, get_shares
 from ragworthollow.admission.ticket import Ticket
 
 __all__ = (
--- a/packages/ragworthollow/src/ragworthollow/admission/order.py
+++ b/packages/ragworthollow/src/ragworthollow/admission/order.py
@@ -3,7 +3,7 @@
 from collections.abc import Iterable
 from dataclasses import dataclass
 
-from ragworthollow.admission.share import CapacityShare
+from ragworthollow.admission.capacity_share import CapacityShare
 from ragworthollow.admission.usage import DECAY_TIME_MS
 
 
--- a/packages/ragworthollow/src/ragworthollow/admission/queue.py
+++ b/packages/ragworthollow/src/ragworthollow/admission/queue.py
@@ -4,6 +4,11 @@
 
 from result import Err, Ok, Result
 
+from ragworthollow.admission.capacity_share import (
+    DEFAULT_SHARE,
+    CapacityShare,
+    get_fair_share,
+)
 from ragworthollow.admission.decisions import (
     Acceptance,
     DispatchResult,
@@ -16,11 +21,6 @@
     is_within_guarantee,
 )
 from ragworthollow.admission.organisation_queues import OrganisationQueues
-from ragworthollow.admission.share import (
-    DEFAULT_SHARE,
-    CapacityShare,
-    get_fair_share,
-)
 from ragworthollow.admission.ticket import Ticket
 from ragworthollow.admission.usage_tracker import UsageTracker
 from ragworthollow.conf import global_settings
--- a/packages/ragworthollow/src/ragworthollow/configuration/follower.py
+++ b/packages/ragworthollow/src/ragworthollow/configuration/follower.py
@@ -17,7 +17,7 @@
     decode_manifest,
 )
 from ragworthollow.logs.events import log_event
-from ragworthollow.membership.peers import PeerDirectory
+from ragworthollow.membership.peer_directory import PeerDirectory
 from ragworthollow.platform import StoreClient
 from ragworthollow.platform.store_position import StorePosition
 from ragworthollow.transport.timeouts import make_silence_timeout
--- a/packages/ragworthollow/src/ragworthollow/configuration/store.py
+++ b/packages/ragworthollow/src/ragworthollow/configuration/store.py
@@ -5,7 +5,7 @@
 import msgspec
 from result import Err, Ok, Result
 
-from ragworthollow.admission.share import CapacityShare, get_shares
+from ragworthollow.admission.capacity_share import CapacityShare, get_shares
 from ragworthollow.checks.report import has_errors
 from ragworthollow.configuration.checks import check_files
 from ragworthollow.configuration.deployment import Deployment
--- a/packages/ragworthollow/src/ragworthollow/exchange/__init__.py
+++ b/packages/ragworthollow/src/ragworthollow/exchange/__init__.py
@@ -1,9 +1,12 @@
 """Describe a request and its responses independently of any protocol."""
 
-from ragworthollow.exchange.answer_marks import ResponseMetadata
-from ragworthollow.exchange.request_terms import PromptPart, RequestParameters
-from ragworthollow.exchange.upstream_order import AttemptMetadata
-from ragworthollow.exchange.usual_limits import TypicalTimeLimits
+from ragworthollow.exchange.attempt_metadata import AttemptMetadata
+from ragworthollow.exchange.request_parameters import (
+    PromptPart,
+    RequestParameters,
+)
+from ragworthollow.exchange.response_metadata import ResponseMetadata
+from ragworthollow.exchange.typical_time_limits import TypicalTimeLimits
 
 __all__ = (
     'AttemptMetadata',
--- a/packages/ragworthollow/src/ragworthollow/membership/__init__.py
+++ b/packages/ragworthollow/src/ragworthollow/membership/__init__.py
@@ -1,5 +1,5 @@
 """Track which processes exist and which of them watch the platform."""
 
-from ragworthollow.membership.peers import PeerDirectory
+from ragworthollow.membership.peer_directory import PeerDirectory
 
 __all__ = ('PeerDirectory',)
--- a/packages/ragworthollow/src/ragworthollow/pieces/__init__.py
+++ b/packages/ragworthollow/src/ragworthollow/pieces/__init__.py
@@ -5,13 +5,13 @@
     PeerAnnouncements,
 )
 from ragworthollow.pieces.call import PieceCall, RemoteCall
-from ragworthollow.pieces.gate import PieceScheduler
 from ragworthollow.pieces.piece import (
     Piece,
     PieceOutcome,
     PieceResult,
 )
-from ragworthollow.pieces.result_room import ResultSpace, StoredResult
+from ragworthollow.pieces.result_space import ResultSpace, StoredResult
+from ragworthollow.pieces.scheduler import PieceScheduler
 from ragworthollow.pieces.stage_run import StageRun
 from ragworthollow.pieces.waiting_piece import WaitingPiece
 
--- a/packages/ragworthollow/src/ragworthollow/pieces/call.py
+++ b/packages/ragworthollow/src/ragworthollow/pieces/call.py
@@ -2,7 +2,7 @@
 
 from dataclasses import dataclass, field
 
-from ragworthollow.pieces.call_limit import BatchLimit
+from ragworthollow.pieces.batch_limit import BatchLimit
 from ragworthollow.pieces.waiting_piece import WaitingPiece
 from ragworthollow.upstreams import UpstreamInstance
 
--- a/packages/ragworthollow/src/ragworthollow/pieces/piece.py
+++ b/packages/ragworthollow/src/ragworthollow/pieces/piece.py
@@ -3,7 +3,7 @@
 import enum
 from dataclasses import dataclass
 
-from ragworthollow.routes.homes import AllowedRegions
+from ragworthollow.routes.allowed_regions import AllowedRegions
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
--- a/packages/ragworthollow/src/ragworthollow/pieces/gate.py
+++ b/packages/ragworthollow/src/ragworthollow/pieces/scheduler.py
@@ -4,9 +4,8 @@
 from collections.abc import Sequence
 
 from ragworthollow.conf import global_settings
+from ragworthollow.pieces.batch_limit import find_batch_limit
 from ragworthollow.pieces.call import PieceCall
-from ragworthollow.pieces.call_limit import find_batch_limit
-from ragworthollow.pieces.drain_rate import QueueThroughput
 from ragworthollow.pieces.order import (
     can_wait_for_domain,
     choose_idle_instance,
@@ -17,12 +16,13 @@
     should_wait_for_domain,
 )
 from ragworthollow.pieces.piece import Piece, PieceOutcome, PieceResult
-from ragworthollow.pieces.result_room import ResultSpace
+from ragworthollow.pieces.queue_throughput import QueueThroughput
+from ragworthollow.pieces.result_space import ResultSpace
 from ragworthollow.pieces.running_calls import RunningCalls
 from ragworthollow.pieces.selection import select_pieces
 from ragworthollow.pieces.waiting_piece import WaitingPiece
 from ragworthollow.pieces.waits import estimate_domain_waits, estimate_wait_ms
-from ragworthollow.routes.homes import is_region_allowed
+from ragworthollow.routes.allowed_regions import is_region_allowed
 from ragworthollow.routes.upstream_pool import PieceProfile
 from ragworthollow.upstreams import LoadTracker, UpstreamInstance
 
--- a/packages/ragworthollow/src/ragworthollow/platform/configuration_wire.py
+++ b/packages/ragworthollow/src/ragworthollow/platform/configuration_wire.py
@@ -15,7 +15,7 @@
     UpstreamPool,
     WeightedPool,
 )
-from ragworthollow.routes.homes import AllowedRegions
+from ragworthollow.routes.allowed_regions import AllowedRegions
 from ragworthollow.utils.message import Message
 
 CONFIGURATION_KEY = 'op/config'
--- a/packages/ragworthollow/src/ragworthollow/quarantine/ledger.py
+++ b/packages/ragworthollow/src/ragworthollow/quarantine/crash_registry.py
@@ -3,7 +3,7 @@
 from collections.abc import Iterable, Mapping
 
 from ragworthollow.conf import global_settings
-from ragworthollow.quarantine.suspect import NEVER_MS, CrashRecord
+from ragworthollow.quarantine.crash_record import NEVER_MS, CrashRecord
 
 
 class CrashRegistry:
--- a/packages/ragworthollow/src/ragworthollow/quarantine/evidence_exchange.py
+++ b/packages/ragworthollow/src/ragworthollow/quarantine/evidence_exchange.py
@@ -4,9 +4,9 @@
 from dataclasses import dataclass
 
 from ragworthollow.conf import global_settings
-from ragworthollow.quarantine.evidence_news import CrashReport, EvidenceUpdate
-from ragworthollow.quarantine.ledger import CrashRegistry
-from ragworthollow.quarantine.suspect import CrashRecord
+from ragworthollow.quarantine.crash_record import CrashRecord
+from ragworthollow.quarantine.crash_registry import CrashRegistry
+from ragworthollow.quarantine.evidence_update import CrashReport, EvidenceUpdate
 
 
 @dataclass(kw_only=True, slots=True)
--- a/packages/ragworthollow/src/ragworthollow/replica/__init__.py
+++ b/packages/ragworthollow/src/ragworthollow/replica/__init__.py
@@ -1,19 +1,19 @@
 """Replicate the store, and track how fresh the replica is."""
 
-from ragworthollow.replica.evidence import Freshness
-from ragworthollow.replica.follow_paces import (
+from ragworthollow.replica.freshness import Freshness
+from ragworthollow.replica.poll_intervals import (
     PollIntervals,
     derive_poll_intervals,
 )
-from ragworthollow.replica.news_codec import decode_update, encode_update
 from ragworthollow.replica.replica import Replica, UpdateResult
-from ragworthollow.replica.store_news import (
+from ragworthollow.replica.store_update import (
     RetainedKey,
     StoreUpdate,
     UpdatedKey,
     UpdateRequest,
 )
 from ragworthollow.replica.store_view import StoreView
+from ragworthollow.replica.update_codec import decode_update, encode_update
 
 __all__ = (
     'Freshness',
--- a/packages/ragworthollow/src/ragworthollow/replica/replica.py
+++ b/packages/ragworthollow/src/ragworthollow/replica/replica.py
@@ -14,9 +14,9 @@
 from ragworthollow.platform.store_position import StorePosition
 from ragworthollow.platform.store_snapshot import StoreSnapshot
 from ragworthollow.platform.stored import Stored
-from ragworthollow.replica.evidence import Freshness
+from ragworthollow.replica.freshness import Freshness
 from ragworthollow.replica.retained_keys import RetainedKeys
-from ragworthollow.replica.store_news import StoreUpdate, UpdatedKey
+from ragworthollow.replica.store_update import StoreUpdate, UpdatedKey
 from ragworthollow.replica.store_view import StoreView
 
 
--- a/packages/ragworthollow/src/ragworthollow/replica/retained_keys.py
+++ b/packages/ragworthollow/src/ragworthollow/replica/retained_keys.py
@@ -5,7 +5,7 @@
 
 from ragworthollow.conf import global_settings
 from ragworthollow.platform.stored import Stored
-from ragworthollow.replica.store_news import RetainedKey
+from ragworthollow.replica.store_update import RetainedKey
 
 # Called with a key, the retained value and the store's value; returns whether
 # the retained value is newer.
--- a/packages/ragworthollow/src/ragworthollow/replica/news_codec.py
+++ b/packages/ragworthollow/src/ragworthollow/replica/update_codec.py
@@ -6,7 +6,7 @@
 from result import Err, Ok, Result
 
 from ragworthollow.conf import global_settings
-from ragworthollow.replica.store_news import StoreUpdate
+from ragworthollow.replica.store_update import StoreUpdate
 
 
 def encode_update(update: StoreUpdate | None) -> bytes:
--- a/packages/ragworthollow/src/ragworthollow/throttling/__init__.py
+++ b/packages/ragworthollow/src/ragworthollow/throttling/__init__.py
@@ -1,6 +1,11 @@
 """Limit the requests to instances to the rates that they accept."""
 
-from ragworthollow.throttling.limit_news import (
+from ragworthollow.throttling.advertised_limit import (
+    UNLIMITED_PER_S,
+    AdvertisedLimit,
+)
+from ragworthollow.throttling.advertised_limits import AdvertisedLimits
+from ragworthollow.throttling.limit_update import (
     LimitUpdate,
     make_limit_update,
     read_limit_update,
@@ -10,11 +15,6 @@
     derive_advertised_limits,
     derive_limits,
 )
-from ragworthollow.throttling.named_limit import (
-    UNLIMITED_PER_S,
-    AdvertisedLimit,
-)
-from ragworthollow.throttling.named_limits import AdvertisedLimits
 from ragworthollow.throttling.pacer import Pacer
 from ragworthollow.throttling.quota import SenderQuota, derive_quota
 from ragworthollow.throttling.senders import Senders
--- a/packages/ragworthollow/src/ragworthollow/throttling/named_limits.py
+++ b/packages/ragworthollow/src/ragworthollow/throttling/advertised_limits.py
@@ -1,7 +1,7 @@
 """Track the rate limits that instances advertise in their responses."""
 
 from ragworthollow.conf import global_settings
-from ragworthollow.throttling.named_limit import AdvertisedLimit
+from ragworthollow.throttling.advertised_limit import AdvertisedLimit
 
 
 class AdvertisedLimits:
--- a/packages/ragworthollow/src/ragworthollow/throttling/limit_news.py
+++ b/packages/ragworthollow/src/ragworthollow/throttling/limit_update.py
@@ -1,6 +1,6 @@
 """Define the messages in which gateways exchange rate limits."""
 
-from ragworthollow.throttling.named_limit import (
+from ragworthollow.throttling.advertised_limit import (
     UNLIMITED_PER_S,
     AdvertisedLimit,
 )
--- a/packages/ragworthollow/src/ragworthollow/throttling/throttle.py
+++ b/packages/ragworthollow/src/ragworthollow/throttling/throttle.py
@@ -2,12 +2,12 @@
 
 from collections.abc import Iterator
 
+from ragworthollow.throttling.advertised_limits import AdvertisedLimits
 from ragworthollow.throttling.limits import RateLimits, derive_advertised_limits
-from ragworthollow.throttling.named_limits import AdvertisedLimits
 from ragworthollow.throttling.pacer import Pacer
 from ragworthollow.throttling.quota import SenderQuota, derive_quota
 from ragworthollow.throttling.senders import Senders
-from ragworthollow.throttling.warm_ups import WarmUpTracker
+from ragworthollow.throttling.warm_up_tracker import WarmUpTracker
 from ragworthollow.utils import get_boottime_ms, get_monotonic_ms
 
 
--- a/packages/ragworthollow/src/ragworthollow/transport/host_messages.py
+++ b/packages/ragworthollow/src/ragworthollow/transport/host_messages.py
@@ -1,9 +1,9 @@
 """Define what gateways say to each other about themselves."""
 
 from ragworthollow.membership.gateway_member import GatewayMember
-from ragworthollow.quarantine.evidence_news import EvidenceUpdate
-from ragworthollow.replica.store_news import StoreUpdate
-from ragworthollow.throttling.limit_news import LimitUpdate
+from ragworthollow.quarantine.evidence_update import EvidenceUpdate
+from ragworthollow.replica.store_update import StoreUpdate
+from ragworthollow.throttling.limit_update import LimitUpdate
 from ragworthollow.utils.message import Message
 
 PING_PATH = '/v1/ping'
--- a/packages/ragworthollow/src/ragworthollow/upstreams/__init__.py
+++ b/packages/ragworthollow/src/ragworthollow/upstreams/__init__.py
@@ -1,10 +1,10 @@
 """Track upstream instances and select one for each attempt."""
 
-from ragworthollow.upstreams.answer_time import FirstEventLatency
 from ragworthollow.upstreams.choice import UpstreamCriteria, choose_upstream
 from ragworthollow.upstreams.directory import Directory
+from ragworthollow.upstreams.first_event_latency import FirstEventLatency
 from ragworthollow.upstreams.instance_load import InstanceLoad
-from ragworthollow.upstreams.load_book import LoadTracker
+from ragworthollow.upstreams.load_tracker import LoadTracker
 from ragworthollow.upstreams.upstream_instance import UpstreamInstance
 
 __all__ = (
--- a/packages/ragworthollow/src/ragworthollow/upstreams/choice.py
+++ b/packages/ragworthollow/src/ragworthollow/upstreams/choice.py
@@ -5,7 +5,7 @@
 from dataclasses import dataclass
 
 from ragworthollow.conf import global_settings
-from ragworthollow.upstreams.load_book import LoadTracker
+from ragworthollow.upstreams.load_tracker import LoadTracker
 from ragworthollow.upstreams.upstream_instance import UpstreamInstance
 from ragworthollow.utils.hashing import get_rank
 
--- a/packages/ragworthollow/src/ragworthollow/upstreams/directory.py
+++ b/packages/ragworthollow/src/ragworthollow/upstreams/directory.py
@@ -6,7 +6,7 @@
 
 from ragworthollow.conf import global_settings
 from ragworthollow.upstreams.domain_drains import DomainDrains
-from ragworthollow.upstreams.instance_notices import InstanceSignals
+from ragworthollow.upstreams.instance_signals import InstanceSignals
 from ragworthollow.upstreams.upstream_instance import UpstreamInstance
 from ragworthollow.utils import get_monotonic_ms
 
--- a/tests/features/steps/crash_evidence.py
+++ b/tests/features/steps/crash_evidence.py
@@ -18,7 +18,7 @@
     make_fingerprint,
 )
 from ragworthollow.upstreams import Directory, UpstreamInstance
-from ragworthollow_daemon.gateway.crash_watch import CrashDetector
+from ragworthollow_daemon.gateway.crash_detector import CrashDetector
 
 _TERM_MS = 300_000
 _HOUR_MS = 3_600_000
--- a/tests/features/steps/domain_drains.py
+++ b/tests/features/steps/domain_drains.py
@@ -14,7 +14,9 @@
 from ragworthollow.replica import Replica
 from ragworthollow.upstreams import Directory, LoadTracker
 from ragworthollow_ctl.commands.instances import instances
-from ragworthollow_daemon.gateway.instances_follower import InstancesSubscriber
+from ragworthollow_daemon.gateway.instances_subscriber import (
+    InstancesSubscriber,
+)
 from ragworthollow_daemon.gateway.piece_service import PieceService
 from tests.fixtures.commands import run_command
 from tests.fixtures.gateways import make_settings
--- a/tests/features/steps/instance_entries.py
+++ b/tests/features/steps/instance_entries.py
@@ -14,7 +14,9 @@
 from ragworthollow.platform.instances_wire import decode_instance
 from ragworthollow.platform.stored import Stored
 from ragworthollow.upstreams import Directory, LoadTracker, UpstreamInstance
-from ragworthollow_daemon.gateway.instances_follower import InstancesSubscriber
+from ragworthollow_daemon.gateway.instances_subscriber import (
+    InstancesSubscriber,
+)
 from ragworthollow_daemon.gateway.piece_service import PieceService
 from tests.fixtures.gateways import make_settings
 from tests.fixtures.piece_pool import make_waiting
--- a/tests/features/steps/late_service.py
+++ b/tests/features/steps/late_service.py
@@ -15,7 +15,7 @@
 from ragworthollow.utils import use_monotonic
 from ragworthollow_daemon.gateway.admission import Admission
 from ragworthollow_daemon.gateway.context import GatewayContext
-from ragworthollow_daemon.gateway.deferral import DeferralQueue
+from ragworthollow_daemon.gateway.deferral_queue import DeferralQueue
 
 _SEEDS = (1, 2, 3)
 _PATTERNS = ('bursts', 'lost-gin-sync')
--- a/tests/features/steps/lost_calls.py
+++ b/tests/features/steps/lost_calls.py
@@ -14,12 +14,12 @@
 from ragworthollow.pieces import PieceCall, StoredResult
 from ragworthollow.transport.host_messages import HostState
 from ragworthollow.utils import use_monotonic
-from ragworthollow_daemon.gateway.asker_book import RequesterTracker
-from ragworthollow_daemon.gateway.call_outcomes import CallResultHandler
-from ragworthollow_daemon.gateway.call_watch import CallMonitor
+from ragworthollow_daemon.gateway.call_monitor import CallMonitor
+from ragworthollow_daemon.gateway.call_result_handler import CallResultHandler
 from ragworthollow_daemon.gateway.context import GatewayContext
-from ragworthollow_daemon.gateway.held_results import ResultsInUse
-from ragworthollow_daemon.gateway.host_pings import HostPinger
+from ragworthollow_daemon.gateway.host_pinger import HostPinger
+from ragworthollow_daemon.gateway.requester_tracker import RequesterTracker
+from ragworthollow_daemon.gateway.results_in_use import ResultsInUse
 from ragworthollow_daemon.gateway.upstream_failure import UpstreamFailure
 from tests.fixtures.piece_pool import (
     FAR_MS,
--- a/tests/features/steps/overload.py
+++ b/tests/features/steps/overload.py
@@ -26,8 +26,8 @@
 )
 from ragworthollow.upstreams import FirstEventLatency
 from ragworthollow.utils import get_monotonic_ms
+from ragworthollow_daemon.gateway.latency_estimate import LatencyEstimate
 from ragworthollow_daemon.gateway.request_job import RequestJob
-from ragworthollow_daemon.gateway.stage_way import LatencyEstimate
 
 _SEEDS = (1, 2, 3)
 _JOBS = 4
--- a/tests/features/steps/piece_space.py
+++ b/tests/features/steps/piece_space.py
@@ -7,7 +7,7 @@
     StageRun,
     StoredResult,
 )
-from ragworthollow.pieces.nearness import choose_local_domain
+from ragworthollow.pieces.locality import choose_local_domain
 from tests.fixtures.piece_pool import (
     FAR_MS,
     NOTHING,
--- a/tests/features/steps/slow_calls.py
+++ b/tests/features/steps/slow_calls.py
@@ -7,7 +7,7 @@
 from ragworthollow.metrics import Metrics
 from ragworthollow.pieces import PieceOutcome, PieceResult
 from ragworthollow.utils import use_monotonic
-from ragworthollow_daemon.gateway.call_outcomes import CallResultHandler
+from ragworthollow_daemon.gateway.call_result_handler import CallResultHandler
 from tests.fixtures.piece_pool import FAR_MS, PiecePool, make_waiting
 
 _DONE = PieceResult(outcome=PieceOutcome.done, handle='10.0.0.1:1/x')
