--- a/packages/ragworthollow/src/ragworthollow/conf/global_settings.py
+++ b/packages/ragworthollow/src/ragworthollow/conf/global_settings.py
@@ -1,11 +1,11 @@
 """
-Give every default in one place.
+Define the default values of all settings and limits.
 
-Suffixes state units: `_MS` milliseconds, `_BYTES` bytes.  Where a settings
-file may override one, the field of that name in `ragworthollow.conf` does.
+Suffixes state units: `_MS` milliseconds, `_BYTES` bytes.  Where a settings file
+may override a default, the field of the same name in `ragworthollow.conf` does.
 """
 
-# Limits at the door.
+# Limits on incoming requests.
 MAX_BODY_BYTES = 1_000_000
 MAX_HEADER_BYTES = 8_190
 MAX_CONFIGURATION_FILE_BYTES = 1_000_000
@@ -39,14 +39,14 @@
 PLATFORM_TIMEOUT_MS = 1_500
 INSTANCES_POLL_MS = 1_000
 WATCH_RETRY_MS = 500
-# Longest wait of one watch call; the store allows 30 s.
+# Maximum wait of one watch call; the store allows 30 s.
 WATCH_WAIT_MS = 25_000
 
 # Configuration.
 WATCHERS_PER_DOMAIN = 4
 CONFIGURATION_WAIT_MS = 3_000
-# Silence of a peer beyond the wait that it was asked for; a live one answers
-# within milliseconds.
+# Timeout for a peer beyond the wait time that it was asked for; a live peer
+# responds within milliseconds.
 CONFIGURATION_PEER_TIMEOUT_MS = 500
 CONFIGURATION_RETRY_MS = 300
 CONFIGURATION_REREAD_MS = 30_000
@@ -92,7 +92,7 @@
 DRAIN_QUIET_MS = 300
 DRAIN_LIMIT_MS = 30_000
 
-# Orders to engines.
+# Control commands to engines.
 ORDER_LIMIT_MS = 5_000
 PLACEMENT_INTERVAL_MS = 500
 PLACEMENT_CHECK_MS = 5_000
@@ -115,315 +115,352 @@
 OVERLOAD_RETRIES = 2
 EJECTION_INTERVAL_MS = 500
 
-# Gateway: what a caller may send until a configuration says otherwise.
+# Gateway: limits on callers' requests until a configuration sets others.
 GATEWAY_HEADER_BYTES = 16_384
 GATEWAY_BODY_BYTES = 4_194_304
 GATEWAY_HEADER_TIMEOUT_MS = 3_000
 GATEWAY_IDLE_TIMEOUT_MS = 15_000
-# How long the rest of a refused body is read and dropped: closing at once
-# would reset the connection before the caller has read why.
+# How long the rest of a refused request's body is read and discarded: closing
+# at once would reset the connection before the caller has read the refusal.
 GATEWAY_LINGER_MS = 1_000
 
 # Upstream instances of a gateway.
-# Entries that lapsed while the store was away return within 2 s of its return.
-# Kept for as long, less one poll, since a list ends it only when it comes: an
-# instance that leaves right then gets nothing after the 2 s that it may.
+
+# How long after the first list that can be read again instances are kept whose
+# records expired during a store outage; the records return within 2 s of the
+# end of the outage.  It is shorter by one poll, since only the arrival of the
+# next list ends it: an instance that shuts down just then must get no request
+# after the 2 s that it may.
 LAPSED_ENTRY_MS = 1_400
-# First time out of rotation after a failure; doubles up to 2**4 times.
+# Initial time out of rotation after a failure; it doubles with each further
+# failure, up to 2**4 times.
 UPSTREAM_SUSPECT_MS = 500
 SUSPECT_DOUBLINGS_LIMIT = 4
-# Others' load is as old as its report, and is known by all gateways at once:
-# half of it keeps them from moving together (routing measurements).
+# Weight of the load that other gateways report.  It is as old as its report and
+# reaches all gateways at once: half of it keeps gateways from moving together.
 REPORTED_LOAD_TRUST = 0.5
-# Answers over which the time to a first event is averaged: some seconds of a
-# pool's work at one gateway, so that it follows a burst.
+# Number of responses over which the time to a first event is averaged: a few
+# seconds of a pool's work at one gateway, so that the average follows a burst.
 ANSWER_TIME_SAMPLES = 40
-# Answers before that time is believed: a line through fewer is chance.
+# Number of responses from which that average is used; a fit to fewer samples is
+# mostly noise.
 ANSWER_TIME_LEAST_SAMPLES = 4
-# Bounded-load hashing: an instance above this multiple of the mean, plus a
-# twentieth of its slots, passes requests on to the next in rank.
+# Consistent hashing with bounded loads: an instance above this multiple of the
+# mean load, plus a twentieth of its slots, passes requests on to the next in
+# rank.
 AFFINITY_LOAD_FACTOR = 1.25
 AFFINITY_LOAD_SLACK = 0.05
 
 # Pieces of stages.
-# A piece that is this late may still end in time: stage times are
-# approximate to about a tenth of a call of 300 to 400 ms.
+
+# A piece that is expected to be this late may still end in time: estimated
+# stage times are accurate to about a tenth of a call of 300 to 400 ms.
 PIECE_LATE_GRACE_MS = 30
-# Lateness at which a request that has cost nothing yet is given up; about one
-# call, so that a wrong estimate of one call does not refuse a request.
+# Expected lateness at which a request that has cost nothing yet is abandoned;
+# about one call, so that a wrong estimate of one call refuses no request.
 PIECE_GIVE_UP_MS = 300
-# Times of a request's objective after which its stage work is given up: a
-# late answer still has some worth, but its caller is held all the while.
+# Multiple of a request's latency objective after which its stage work is
+# abandoned: a late result still has some worth, but its caller is blocked
+# meanwhile.
 STAGE_PATIENCE = 2.0
-# Rank of a more urgent request among pieces: as if it were due this much
-# earlier for each step of priority; about one call.
+# Scheduling advantage of each step of priority: a more urgent request is ranked
+# as if it were due this much earlier; about one call.
 PRIORITY_STEP_MS = 250
-# Priorities that are told apart, 0 first.
+# Number of distinct priorities, starting from 0.
 PRIORITIES = 10
-# How long the announced work of another gateway counts after it last told of
-# it; it does so with each ping, every 250 ms, and two of these may be lost.
+# How long work that another gateway has announced stays valid.  Each ping
+# renews it, every 250 ms, and two pings may be lost.
 ANNOUNCEMENT_MS = 750
-# Expected lateness at which a gate refuses stage work, and a front a caller
-# that comes back after a refusal.
+# Expected lateness at which a scheduler refuses stage work, and a gateway
+# refuses a caller that retries after a refusal.
 ADMISSION_GRACE_MS = 100
-# Part of its objective that a new request must be expected to have left over
-# when pools have queues.  Of 0.1, 0.15 and 0.2 the second attained most on
-# heavy days (0.658, 0.668, 0.658 of worth; 0.636 without a margin).
+# Part of its latency objective that a new request must be expected to have left
+# when pools have queues.  Under heavy load 0.15 attains more of the requests'
+# worth (0.668) than 0.1 or 0.2 (0.658 each) or no margin (0.636).
 ADMISSION_MARGIN = 0.15
-# Callers leave a stream that has not begun after this many times its
-# objective, and not before the shorter time.
+# Callers abandon a stream that has not started after this multiple of its
+# latency objective, and not before the minimum.
 CALLER_PATIENCE = 4.0
 CALLER_PATIENCE_LEAST_MS = 2_000
-# Part of its objective that a deferred request must be expected to have left
-# over, as if it had just come and were the least urgent, before it begins.
+# Part of its latency objective that a deferred request must be expected to have
+# left before it starts, estimated as if it had just arrived with the lowest
+# priority.
 DEFERRAL_SPARE = 0.22
-# Kept back from a caller's patience for what estimates leave out; a call and
-# the wait for it.
+# Safety margin below a caller's timeout for what estimates do not include: one
+# call and the wait for it.
 DEFERRAL_MARGIN_MS = 500
-# How far back the turns of deferred requests are counted: about as long as one
-# waits.
+# Time constant with which the counted starts of deferred requests decay: about
+# as long as a request is deferred.
 DEFERRAL_MEMORY_MS = 5_000
-# Part of its caller's time that a request waits for a first configuration.
+# Part of its time limit that a request waits for the first configuration.
 CONFIGURATION_WAIT_SHARE = 0.25
-# Requests of a route over which the usual time limit is taken: some seconds of
-# a route's traffic at one gateway, so that a new limit is soon the usual one.
+# Number of requests of a route from which the typical time limit is derived: a
+# few seconds of a route's traffic at one gateway, so that a new limit soon
+# becomes the typical limit.
 USUAL_LIMIT_SAMPLES = 25
-# How often the same limit among these makes it a habit of its callers; pauses
-# before a return are spread over hundreds of milliseconds.
+# How often the same limit has to occur among these to count as typical of its
+# callers; the delays before a retry vary by hundreds of milliseconds.
 USUAL_LIMIT_REPEATS = 3
-# How far the same limit strays by what transport takes of it.
+# How far requests with the same limit differ because of their time in
+# transport.
 LIMIT_TOLERANCE_MS = 10
-# How much less than the usual limit tells that a caller has waited before;
-# transport takes some milliseconds of a limit, a refusal and a pause more.
+# How far below the typical limit a request's limit shows that its caller has
+# waited before; transport takes some milliseconds of a limit, a refusal with
+# its back-off more.
 WAITED_LEAST_MS = 100
-# How far back the rate of a queue is measured: some calls of 300 to 400 ms.
+# Window over which a queue's throughput is measured: a few calls of 300 to
+# 400 ms.
 DRAIN_RATE_MEMORY_MS = 1_500
-# Time with a backlog from which the measured rate counts: two calls or so.
+# Minimum time with a backlog before the measured throughput is used: about two
+# calls.
 DRAIN_RATE_LEAST_MS = 600
-# How long a gate remembers results that were freed before it heard of them;
-# another gate tells of what it had made at its next turn, every 50 ms.
+# How long a scheduler remembers results that were released before it learned of
+# them; another scheduler reports what it has produced in its next scheduling
+# cycle, every 50 ms.
 FREED_MEMORY_MS = 2_000
-# How long the calls of another gate count after it last told of them; it does
-# so at each of its turns, every 50 ms, and three of these may be lost.
+# How long the calls of another scheduler count after its last report; it
+# reports in each of its scheduling cycles, every 50 ms, and three reports may
+# be lost.
 FOREIGN_CALL_MS = 200
-# How long an instance that has less space than accounted for is left with what
-# it was found to have; results are freed every few hundred milliseconds.
+# How long the observed result space of an instance is used where it is below
+# the accounted space; results are released every few hundred milliseconds.
 ROOM_RETRY_MS = 100
 # An engine reads the inputs of a request before its prompt; the prompt takes
-# hundreds of milliseconds, the inputs a few.  Of 1,800 requests on two heavy
-# days none found its inputs gone.
+# hundreds of milliseconds, the inputs a few.  With this delay none of 1,800
+# requests under heavy load found its inputs released.
 ENGINE_INPUTS_READ_MS = 40
-# A stage is begun as a whole where the results of this many full calls do not
-# fit into the space of an instance.
+# A stage is started as a whole where the results of this many full calls do not
+# fit into the result space of an instance.
 WHOLE_STAGE_CALLS = 2
-# Sizes of results are approximate.
+# Factor on the sizes of results, which are approximate.
 ROOM_MARGIN = 1.04
 
-# Gateway: stop, retries and the store.
-# What the platform grants between TERM and KILL.
+# Gateway: shutdown, retries and the store.
+
+# Time that the platform grants between SIGTERM and SIGKILL.
 GATEWAY_GRACE_S = 8.0
-# How often a process that stops looks whether it may end.
+# How often a process that is shutting down checks whether it may exit.
 STOP_STEP_MS = 20
-# Time before KILL at which the process ends by itself, so that what it cuts
-# is logged; a core may be taken away for a tenth of a second at a time.
+# Time before SIGKILL at which the process exits by itself, so that it logs the
+# requests that it aborts; a core may be taken away for a tenth of a second at a
+# time.
 GATEWAY_STOP_MARGIN_MS = 300
-# Time before that in which everything without an answer gets one.
+# Time before that in which every request without a response gets one.
 GATEWAY_LAST_ANSWERS_MS = 300
-# How long after TERM new streams are taken: the balancer moves away within
-# this time, and a stream lasts for seconds.
+# How long after SIGTERM new streams are accepted: the balancer moves away
+# within this time, and a stream lasts for seconds.
 GATEWAY_LATE_STREAM_MS = 2_500
-# When a caller that meets a stopping gateway may come back: at once, since
-# its next connection goes to another one.
+# Delay after which a caller refused during shutdown may retry: almost none,
+# since its next connection goes to another gateway.
 GATEWAY_STOPPING_RETRY_MS = 30
-# The balancer asks once a second and moves away after two misses; one more
-# second covers the new connections that cross.
+# The balancer checks readiness once a second and moves away after two failed
+# checks; one more second covers connections that are opened meanwhile.
 GATEWAY_BALANCER_LAG_MS = 3_300
 GATEWAY_RETRY_RATIO = 0.2
 GATEWAY_RETRY_SLACK = 20.0
-# Part of the shared retry budget that gateways use; the rest covers those
-# that restart with a full bucket or are not yet known to the others.
+# Part of the shared retry budget that gateways use; the rest covers gateways
+# that restart with a full bucket or that the others do not know yet.
 RETRY_BUDGET_USE = 0.6
-# Part of the retry budget of a stage pool that the host of its gate uses: the
-# others send nothing there, and two hosts may follow each other in a window.
+# Part of a stage pool's retry budget that the host of its scheduler uses: other
+# gateways send nothing to the pool, and two hosts may follow each other within
+# one window.
 HOST_RETRY_SHARE = 0.5
-# The store answers in milliseconds; a call that hears nothing for this long
-# runs on a silent connection.
+# The store responds in milliseconds; a call that receives nothing for this long
+# uses a dead connection.
 STORE_TIMEOUT_MS = 450
-# Pause before the second try of a call that was lost.
+# Delay before the second attempt of a lost call.
 STORE_RETRY_MS = 50
-# What the store and another gateway take for an answer, the way included.
+# Time that the store and another gateway take to respond, transport included.
 STORE_ANSWER_MS = 50
 PEER_ANSWER_MS = 50
-# Part of the bound of a change in which it is seen although one call is lost;
-# the rest is for a core that is taken away and for putting it in force.
+# Part of a change's time bound within which a gateway sees the change even if
+# one call is lost; the rest allows for a core that is taken away and for
+# applying the change.
 CHANGE_SEEN_SHARE = 0.65
-# Part of the longest age of evidence at which the first gateway reads, at
-# least: earlier ones buy nothing where the bound is tight.
+# Minimum age of its copy at which the first gateway reads the store, as a part
+# of the maximum staleness: earlier reads gain nothing where the bound is tight.
 READ_LEAST_SHARE = 0.4
-# Longest pause between tries while the store is away, as a part of the bound.
+# Maximum delay between attempts during a store outage, as a part of the bound.
 STORE_RETRY_SHARE = 0.2
-# How far gateways that hear from nobody spread their reads, as a part of the
-# longest age: they would all read at the same moment otherwise.
+# Jitter of the reads of gateways that receive nothing from others, as a part of
+# the maximum staleness: otherwise they would all read at the same moment.
 TRUST_SPREAD = 0.15
-# Link of an instance where the settings do not say.
+# Default bandwidth of an instance's link.
 LINK_MBPS = 1_000
-# What the installation allows where the settings do not say.
+# Default time bounds of the installation.
 CONFIGURATION_BOUND_MS = 2_000
 LEAVING_BOUND_MS = 2_000
 DOMAIN_DRAIN_BOUND_MS = 5_000
-# What an instance that warms up bears in one second where the settings do not
-# say: a multiple of its rate, and a number of requests beside it.
+# Default number of requests that an instance tolerates in one second while it
+# warms up: a multiple of its rate, and a fixed number of requests on top.
 WARM_UP_BURST_RATIO = 1.0
 WARM_UP_BURST_SLACK = 0
-# The way of a request from its choice to its instance.
+# Time between the choice of an instance for a request and the request's
+# arrival there.
 SENDING_MS = 100
 WARM_UPS_KEPT = 2_000
-# Instances whose limits are remembered; several times what a fleet has.
+# Maximum number of instances whose limits are remembered; several times the
+# size of a fleet.
 NAMED_LIMITS_KEPT = 4_096
-# How long a limit holds that no answer names again.  Gateways that may send
-# ask every few seconds as long as they have callers for the pool.
+# How long an advertised limit is valid unless a response repeats it.  Gateways
+# that may send probe every few seconds as long as they have callers for the
+# pool.
 NAMED_LIMIT_BELIEVED_MS = 60_000
-# What the platform allows in any window where an instance has named a limit: a
-# multiple of the limit, and a number of requests beside it.
+# What the platform allows in any window where an instance has advertised a
+# limit: a multiple of the limit, and a fixed number of requests on top.
 NAMED_LIMIT_WINDOW_MS = 4_000
 NAMED_LIMIT_RATIO = 1.5
 NAMED_LIMIT_SLACK = 5
-# Rate at which an instance is asked that takes none, to hear whether it does.
+# Rate at which an instance that accepts no requests is probed, to find out
+# whether it accepts them again.
 NAMED_LIMIT_LEAST_PER_S = 1 / 60
-# Limits in one message between gateways, 1.8 KB: each tells a few others
-# several times a second.  All of a fleet of 700 take ten seconds that way.
+# Maximum number of limits in one message between gateways, 1.8 KB.  Each
+# gateway sends to a few others several times a second; at this rate all limits
+# of a fleet of 700 take ten seconds to spread.
 LIMITS_IN_MESSAGE = 16
-# How long a limit that has changed is told before others: some pings.
+# How long a limit that has changed is sent before others: a few pings.
 LIMITS_TOLD_FIRST_MS = 2_000
 INSTANCE_HEARTBEAT_MS = 1_200
-# How long keys that the store has lost in a restoration hold unless they are
-# written again: their writers notice it within seconds.
+# How long keys that the store lost when it was restored from a backup stay
+# valid unless they are written again: their writers notice the loss within
+# seconds.
 RESTORED_RETENTION_MS = 30_000
-# Longest time for which a gateway takes the word of others for the store: one
-# that is wrong would be believed for ever.
+# Maximum time for which a gateway relies on what others report of the store;
+# without this limit a wrong report would be trusted permanently.
 STORE_SELF_CHECK_MS = 30_000
-# How often followers are told that nothing has changed; entries that lapsed in
-# an outage end by that.
+# How often subscribers are notified that nothing has changed; records that
+# expired in an outage are dropped on this notification.
 FOLLOWERS_TOLD_MS = 250
-# Removed keys that are remembered for other gateways; one that knows less
-# reads everything.
+# Maximum number of removed keys that are remembered for other gateways; a
+# gateway that is further behind reads everything.
 REMOVED_KEYS_KEPT = 1_000
-# Size of changes up to which the answer to a ping carries them: hundreds of
-# gateways ask the same host, whose link may be thin.
+# Maximum size of changes that the response to a ping carries: hundreds of
+# gateways ping the same host, whose link may have little bandwidth.
 NEWS_BYTES = 4_096
-# Longest news that are unpacked: a few times what the store's largest value and
-# the entries of a thousand instances take.
+# Maximum size of an update that is decompressed: a few times the size of the
+# store's largest value and the records of a thousand instances.
 NEWS_LONGEST_BYTES = 8_000_000
-# Gateways that are asked when the store does not answer.
+# Number of gateways that are queried when the store does not respond.
 NEWS_PEERS_ASKED = 2
-# How often all keys are read although their changes are followed, as a guard
-# against a change that no watch tells of.
+# How often all keys are read although their changes are watched, as a guard
+# against a change that no watch reports.
 STORE_REREAD_MS = 5_000
-# Longest read of all keys that is repeated for that: a change that is made
-# meanwhile waits for its end, and the link is shared with callers.
+# Maximum duration of a read of all keys that is repeated for this purpose: a
+# change made meanwhile waits for the end of the read, and the link is shared
+# with callers.
 STORE_REREAD_LONGEST_MS = 150
-# Size up to which changes are read even where all keys are fewer bytes: that is
-# 26 ms at 5 Mbit/s, less than the further call that it saves takes.
+# Size up to which changes are read even where all keys take fewer bytes: this
+# takes 26 ms at 5 Mbit/s, less than the additional call that it saves.
 STORE_CHANGES_LEAST_BYTES = 16_384
-# Longest exchange in which bytes keep coming.  The largest value of the store,
-# 1 MB (1.4 MB as sent), takes 2.2 s at 5 Mbit/s, and four times that beside
-# callers' traffic and another read.
+# Maximum duration of an exchange in which bytes keep arriving.  The largest
+# value of the store, 1 MB (1.4 MB as sent), takes 2.2 s at 5 Mbit/s, and four
+# times as long beside callers' traffic and another read.
 EXCHANGE_LIMIT_MS = 10_000
-# Membership of gateways.  The entry of one that is gone costs pings that are
-# not answered; one that lapses while its gateway lives costs it its gates and
-# the others a part of the retry budget.  So it outlives two lost renewals.
+# Membership of gateways.
+
+# The record of a terminated gateway costs unanswered pings; a record that
+# expires while its gateway is alive costs the gateway its schedulers and the
+# others a part of the retry budget.  So the lease outlives two lost renewals.
 MEMBER_LEASE_MS = 12_000
 MEMBER_RENEWAL_MS = 4_000
 MEMBER_RETRY_MS = 1_500
-# How long a process that ends waits for the store to drop its entry; part of
-# `GATEWAY_STOP_MARGIN_MS`, and the lease ends by itself.
+# How long a process that exits waits for the store to delete its record; part
+# of `GATEWAY_STOP_MARGIN_MS`, and the lease expires by itself.
 MEMBER_END_TIMEOUT_MS = 100
-# A gateway that has not pinged a host for this long is gone, and what its
-# requests hold is given up; it pings every 250 ms, and a core may be taken
-# away for a tenth of a second at a time.
+# A gateway that has not pinged a host for this long counts as terminated, and
+# what its requests hold is released; it pings every 250 ms, and a core may be
+# taken away for a tenth of a second at a time.
 ASKER_SILENT_MS = 1_000
-# A host of a gate that does not answer for this long is replaced; a core may
-# be taken away for a tenth of a second at a time.
+# Interval between pings of a scheduler's host.  A host that does not respond to
+# a ping is replaced; a core may be taken away for a tenth of a second at a time.
 HOST_PING_MS = 250
-# Members behind the host of a gate of which it should be known whether they
-# answer, and the most silent ones that are asked for each gate at a time.
+# Number of members ranked after the host of a scheduler whose responsiveness
+# should be known, and the maximum number of unresponsive members that are
+# pinged for each scheduler at a time.
 HOST_SUCCESSORS = 2
 SILENT_ASKED_MOST = 4
-# What a gate's messages take of a link while they take a core, and the class of
-# gateways that can host next to nothing: 2**-6 of a core.
+# Bandwidth that a scheduler's messages use per core of CPU time, and the size
+# class of gateways that can host next to nothing: 2**-6 of a core.
 HOST_MBPS_PER_CORE = 20
 HOST_LEAST_CLASS = -6
 HOST_PING_TIMEOUT_MS = 500
 PEER_CONNECT_TIMEOUT_MS = 300
 
 # Gateway: attempts.
+
 # A live machine accepts within milliseconds on these networks.
 UPSTREAM_CONNECT_TIMEOUT_MS = 300
-# Engines close idle connections; one that was idle for longer than this is
-# not used again, since a request that crosses the close is lost.
+# Engines close idle connections; a connection that was idle for longer than
+# this is not reused, since a request sent while the engine closes is lost.
 UPSTREAM_IDLE_MS = 2_000
-# Share of the time left that a repeatable attempt may take while another one
-# could still follow.
+# Part of the remaining time that a repeatable attempt may take while another
+# attempt could still follow.
 ATTEMPT_TIME_SHARE = 0.5
-# A stage call that takes this many times its expected time is slow: its
-# pieces are tried elsewhere as well.
+# A stage call that takes this multiple of its expected time is slow: its pieces
+# are also tried on another instance.
 PIECE_CALL_PATIENCE = 2.5
-# A stage call that takes this many times its expected time is asked for at its
-# instance; call times are given to about a tenth.
+# A stage call that takes this multiple of its expected time makes the gateway
+# query its instance; call times are accurate to about a tenth.
 PIECE_CALL_OVERDUE = 1.25
-# Pause between two such questions: about one call.
+# Delay between two such queries: about one call.
 PIECE_CALL_PROBE_MS = 300
-# How long an answer may still be under way from an instance that is idle.
+# How long a response may still be in transit from an instance that is idle.
 PIECE_ANSWER_GRACE_MS = 50
-# A stage call that takes this long will not be answered any more.
+# A stage call that takes this long is not expected to be answered any more.
 PIECE_CALL_TIMEOUT_MS = 6_000
 PIECE_ATTEMPTS = 3
 GATE_TICK_MS = 50
-# When a refused caller may come back at the earliest; spread by a half so
-# that those refused together do not return together.
+# Minimum delay after which a refused caller may retry; a jitter of a half keeps
+# callers that are refused together from returning together.
 GATEWAY_RETRY_AFTER_MS = 400
 RETRY_AFTER_SPREAD = 0.5
-# Bytes between a stage and its neighbours from which its pieces wait for a near
-# instance; below, a result crosses the network in a fraction of a millisecond.
+# Size of the data exchanged with neighbouring stages from which a stage's
+# pieces wait for a local instance; a smaller result crosses the network in a
+# fraction of a millisecond.
 NEAR_BYTES = 200_000
-# Part of a piece's slack that it may wait for an instance near its reader.  Of
-# 0.2, 0.3 and 0.4 the second served best under load, and 0.4 cost a calm day
-# two points of answers in time for one of traffic between domains.
+# Part of a piece's slack that it may wait for an instance local to the consumer
+# of its result.  0.3 serves better under load than 0.2 and 0.4; in light
+# traffic 0.4 loses two percentage points of timely responses for each point of
+# traffic between domains that it saves.
 NEAR_WAIT_SHARE = 0.3
 
-# Instances that are remembered to have said that they leave; a fleet replaces
-# fewer while their entries can still be listed.
+# Maximum number of instances that are remembered as shutting down; a fleet
+# replaces fewer while their records can still be listed.
 NOTICES_KEPT = 4_096
-# How long other gateways are told of one that leaves: the store has its entry
-# by then, or has been away for longer than instances take to leave.
+# How long other gateways are notified of an instance that is shutting down: by
+# then the store has its record, or its outage has lasted longer than instances
+# take to shut down.
 LEAVING_TOLD_MS = 60_000
 
 # Gateway: requests that crash instances.
-# Crashes with a request running, and no good end since, from which the request
-# is quarantined.
+
+# Number of crashes while a request was running, without a success since, from
+# which the request is quarantined.
 QUARANTINE_CRASHES = 2
-# For how long after the last of them, doubled with each further one.
+# Duration of a quarantine after the last crash, doubled with each further
+# crash.
 QUARANTINE_MS = 300_000
 QUARANTINE_DOUBLINGS_LIMIT = 3
-# What the store grants at most; a record that ends before its quarantine is
-# missed only if all gateways end at once after that.
+# Maximum lease that the store grants; a record that expires before its
+# quarantine is missed only if all gateways terminate at once after that.
 LONGEST_LEASE_MS = 600_000
-# Requests that are remembered: several crashes of instances with every slot in
-# use.
+# Maximum number of requests that are remembered: several crashes of instances
+# with every slot in use.
 SUSPECTS_KEPT = 4_096
-# How often old evidence is looked for.
+# How often expired crash evidence is removed.
 EVIDENCE_FORGET_MS = 10_000
-# Reports in one message between gateways; the rest follows with the next ping.
+# Maximum number of reports in one message between gateways; the rest follows
+# with the next ping.
 EVIDENCE_REPORTS = 256
-# How long a crashed incarnation is remembered: longer than the entries of an
-# instance that is gone stay listed.
+# How long a crashed incarnation is remembered: longer than the records of a
+# terminated instance stay listed.
 CRASH_MEMORY_MS = 30_000
 
-# Logs: a process serves some tens of requests a second with two or three
-# lines each; what is over this rate is counted instead of written.
+# Logs: a process serves some tens of requests a second and writes two or three
+# lines for each; lines above this rate are counted and dropped.
 LOG_LINES_PER_S = 400.0
 LOG_BUFFER_BYTES = 262_144
 
-# Allocations between two collections of the youngest objects; most objects
-# die by reference count.  The figure was chosen, not measured.
+# Allocations between two collections of the youngest generation; most objects
+# are freed by reference counting.
 COLLECTION_THRESHOLD = 20_000
