--- a/packages/ragworthollow/src/ragworthollow/conf/__init__.py
+++ b/packages/ragworthollow/src/ragworthollow/conf/__init__.py
@@ -1,4 +1,4 @@
-"""Hold every default and the settings of a process."""
+"""Define the default values and the settings of a process."""
 
 from ragworthollow.conf.daemon_settings import DaemonSettings, Role
 from ragworthollow.conf.gateway_settings import GatewaySettings
--- a/packages/ragworthollow/src/ragworthollow/conf/checks.py
+++ b/packages/ragworthollow/src/ragworthollow/conf/checks.py
@@ -1,4 +1,4 @@
-"""Check the settings of a daemon before anything starts."""
+"""Check the settings of a daemon before it starts."""
 
 import socket
 from urllib.parse import urlsplit
@@ -8,31 +8,31 @@
 
 _MIN_KEY_LENGTH = 16
 _MIN_LEASE_MS = 2000
-_HIGHEST_PORT = 65535
+_MAX_PORT = 65535
 
 
 def check_settings(settings: DaemonSettings, where: str) -> list[CheckMessage]:
     """
-    Check what the schema cannot express.
+    Check the rules that the schema cannot express.
 
     Parameters
     ----------
     settings : DaemonSettings
         Parsed settings.
     where : str
-        File they came from.
+        Path of the settings file, for the messages.
 
     Returns
     -------
     list of CheckMessage
-        Every problem found.
+        One message for each problem; empty for valid settings.
     """
-    found = [
+    problems = [
         *_check_role(settings, where),
         *_check_addresses(settings, where),
         *_check_limits(settings, where),
     ]
-    return found or _check_port(settings, where)
+    return problems or _check_port(settings, where)
 
 
 def _check_role(settings: DaemonSettings, where: str) -> list[CheckMessage]:
@@ -40,8 +40,8 @@
         return [
             CheckMessage(
                 check_id='settings.E004',
-                text='role sidecar needs the key sidecar',
-                hint='name its pool and upstream_url',
+                text='the role sidecar requires the key sidecar',
+                hint='set its pool and upstream_url',
                 where=f'{where}:sidecar',
             ),
         ]
@@ -61,8 +61,8 @@
     return [
         CheckMessage(
             check_id='settings.E005',
-            text=f'{address!r} is not an http address',
-            hint='write it as http://IP:PORT',
+            text=f'{address!r} is not an HTTP URL',
+            hint='use the form http://IP:PORT',
             where=f'{where}:{key}',
         )
         for key, address in addresses.items()
@@ -72,38 +72,38 @@
 
 
 def _check_limits(settings: DaemonSettings, where: str) -> list[CheckMessage]:
-    found = []
+    problems = []
     if len(settings.cluster_key) < _MIN_KEY_LENGTH:
-        found.append(
+        problems.append(
             CheckMessage(
                 check_id='settings.E006',
                 text=f'shorter than {_MIN_KEY_LENGTH} characters',
-                hint='use a long random string, the same in every process',
+                hint='use a long random string, identical in every process',
                 where=f'{where}:cluster_key',
             ),
         )
     if settings.lease_ttl_ms < _MIN_LEASE_MS:
-        found.append(
+        problems.append(
             CheckMessage(
                 check_id='settings.E007',
                 text=f'{settings.lease_ttl_ms} ms is too short for a lease',
-                hint=f'at least {_MIN_LEASE_MS}',
+                hint=f'use at least {_MIN_LEASE_MS}',
                 where=f'{where}:lease_ttl_ms',
             ),
         )
-    return found
+    return problems
 
 
 def _check_port(settings: DaemonSettings, where: str) -> list[CheckMessage]:
     listen = settings.listen
-    place = f'{where}:listen.port'
-    if not 0 < listen.port <= _HIGHEST_PORT:
+    port_key = f'{where}:listen.port'
+    if not 0 < listen.port <= _MAX_PORT:
         return [
             CheckMessage(
                 check_id='settings.E008',
-                text=f'{listen.port} is not a port',
-                hint=f'1 to {_HIGHEST_PORT}',
-                where=place,
+                text=f'{listen.port} is not a valid TCP port',
+                hint=f'use a port from 1 to {_MAX_PORT}',
+                where=port_key,
             ),
         ]
     with socket.socket() as probe:
@@ -115,8 +115,8 @@
                 CheckMessage(
                     check_id='settings.E009',
                     text=f'{listen.get_address()}: {error.strerror}',
-                    hint='end what listens there, or choose another address',
-                    where=place,
+                    hint='stop the process on it, or use another address',
+                    where=port_key,
                 ),
             ]
     return []
--- a/packages/ragworthollow/src/ragworthollow/conf/daemon_settings.py
+++ b/packages/ragworthollow/src/ragworthollow/conf/daemon_settings.py
@@ -11,7 +11,7 @@
 
 
 class Role(enum.StrEnum):
-    """Name what a daemon does."""
+    """Enumerate the roles of a daemon."""
 
     entry = 'entry'
     sidecar = 'sidecar'
@@ -24,27 +24,30 @@
     Attributes
     ----------
     role : Role
-        What this daemon does.
+        Role of this daemon.
     instance : str
         Name of the instance, unique in the deployment.
     failure_domain : str
-        Where it runs.
+        Failure domain that it runs in.
     listen : ListenSettings
-        Its one address.
+        Address that it listens on.
     platform : PlatformSettings
-        The platform's services.
+        Addresses of the platform's services.
     cluster_key : str
-        Secret that processes of this deployment present to each other.
+        Secret with which the processes of this deployment authenticate to
+        each other.
     sidecar : SidecarSettings or None
         Required for the role `sidecar`.
     operators : tuple of OperatorSettings
-        Who may change configuration; used by the role `entry`.
+        Operators who may change the configuration; used by the role `entry`.
     balancer_lag_ms : int
-        How long after a negative readiness the balancer may still send.
+        Time in milliseconds for which the balancer may still send requests
+        after a failed readiness check.
     drain_limit_ms : int
-        Longest graceful shutdown; what still runs then is cut and logged.
+        Maximum duration of a graceful shutdown in milliseconds; requests that
+        still run then are aborted and logged.
     lease_ttl_ms : int
-        Time to live of this process's lease.
+        Time to live of this process's lease in milliseconds.
     """
 
     role: Role
--- a/packages/ragworthollow/src/ragworthollow/conf/gateway_settings.py
+++ b/packages/ragworthollow/src/ragworthollow/conf/gateway_settings.py
@@ -20,44 +20,48 @@
     instance : str
         Name of the instance, unique in the deployment.
     failure_domain : str
-        Where it runs.
+        Failure domain that it runs in.
     regions : dict of str to str
         Region of each failure domain.
     front_address, ready_address : str
-        Where callers and the balancer's readiness checks connect, `IP:PORT`.
+        Addresses for callers and for the balancer's readiness checks, as
+        `IP:PORT`.
     peer_address : str
-        Where other gateways connect.
+        Address for other gateways, as `IP:PORT`.
     metrics_address : str
-        Where metrics and status are served; empty for nowhere.
+        Address at which metrics and status are served; empty to disable.
     store_url : str
-        Base address of the platform's store.
+        Base URL of the platform's store.
     grace_s : float
-        Time between TERM and the end of the process.
+        Seconds between SIGTERM and the end of the process.
     retry_ratio, retry_slack : float
-        Further attempts that all gateways together may make in a window, as
-        a share of requests and as a number beside it.
+        Retries that all gateways together may make in a window, as a fraction
+        of requests and as a fixed number on top.
     cpu_share : float
-        Share of a core that this process has.
+        Fraction of a core that this process may use.
     cores : float
-        How many times as fast as usual that core is.
+        Speed of that core relative to a standard core.
     link_mbps : float
-        Bandwidth of the link of the instance, Mbit/s.
+        Bandwidth of the instance's link in Mbit/s.
     configuration_bound_ms, leaving_bound_ms : float
-        Time from the store's acceptance in which a configuration has to be
-        in force, and in which an instance that leaves gets its last request.
+        Milliseconds from the store's acceptance until a configuration has to
+        be active, and until an instance that is shutting down gets its last
+        request.
     domain_drain_bound_ms : float
-        Time from the store's acceptance of a drain in which the instances of
-        that failure domain get their last request.
+        Milliseconds from the store's acceptance of a drain until the instances
+        of that failure domain get their last request.
     warm_up_burst_ratio, warm_up_burst_slack : float
-        Requests that an instance that warms up may get in one second from all
-        gateways, as a multiple of its rate and as a number beside it.
+        Requests that an instance may get in one second from all gateways
+        during its warm-up, as a multiple of its rate and as a fixed number on
+        top.
     instance_heartbeat_ms : float
-        Pace at which instances renew their entries in the store.
+        Interval in milliseconds at which instances renew their records in the
+        store.
     quarantine_crashes : int
-        Crashes of instances with a request running, and no good end since,
-        from which the request is quarantined.
+        Number of instance crashes while a request was running, without a
+        success since, from which the request is quarantined.
     quarantine_ms : float
-        For how long after the last of them.
+        Duration of the quarantine after the last crash, in milliseconds.
     """
 
     role: Literal['gateway']
@@ -95,7 +99,7 @@
         return (self.regions or {}).get(failure_domain, '')
 
     def get_shortest_bound_ms(self) -> float:
-        """Return the time in which any change has to be in force."""
+        """Return the shortest time bound of any change, in milliseconds."""
         return min(
             self.configuration_bound_ms,
             self.leaving_bound_ms,
@@ -103,7 +107,7 @@
         )
 
     def get_capacity(self) -> float:
-        """Return the cores that this gateway can use for gates."""
+        """Return the number of cores available for hosting schedulers."""
         return measure_capacity(
             cores=self.cpu_share * self.cores,
             link_mbps=self.link_mbps,
--- a/packages/ragworthollow/src/ragworthollow/conf/global_settings.py
+++ b/packages/ragworthollow/src/ragworthollow/conf/global_settings.py
@@ -371,8 +371,8 @@
 # what its requests hold is released; it pings every 250 ms, and a core may be
 # taken away for a tenth of a second at a time.
 ASKER_SILENT_MS = 1_000
-# Interval between pings of a scheduler's host.  A host that does not respond to
-# a ping is replaced; a core may be taken away for a tenth of a second at a time.
+# Interval between pings of a scheduler's host.  A host that does not respond in
+# time is replaced; a core may be taken away for a tenth of a second at a time.
 HOST_PING_MS = 250
 # Number of members ranked after the host of a scheduler whose responsiveness
 # should be known, and the maximum number of unresponsive members that are
--- a/packages/ragworthollow/src/ragworthollow/conf/listen_settings.py
+++ b/packages/ragworthollow/src/ragworthollow/conf/listen_settings.py
@@ -1,16 +1,16 @@
-"""Define where a process listens."""
+"""Define the settings of the address that a process listens on."""
 
 from ragworthollow.utils.message import StrictMessage
 
 
 class ListenSettings(StrictMessage):
     """
-    Name the address of a process.
+    Configure the address of a process.
 
     Attributes
     ----------
     host : str
-        IP number to bind and to be reached under.
+        IP address to bind to and to advertise.
     port : int
         TCP port.
     """
--- a/packages/ragworthollow/src/ragworthollow/conf/loading.py
+++ b/packages/ragworthollow/src/ragworthollow/conf/loading.py
@@ -28,7 +28,8 @@
     Returns
     -------
     Result
-        The settings, or the first problem: file, key, hint.
+        The settings, or a message about the first problem, with the file, the
+        key and a hint.
     """
     try:
         source = path.read_bytes()
@@ -69,7 +70,7 @@
             CheckMessage(
                 check_id='settings.E003',
                 text=str(error),
-                hint='see docs/ref/settings.md for the fields and units',
+                hint='see docs/ref/settings.md for the keys and their units',
                 where=str(path),
             ),
         )
--- a/packages/ragworthollow/src/ragworthollow/conf/operator_settings.py
+++ b/packages/ragworthollow/src/ragworthollow/conf/operator_settings.py
@@ -1,18 +1,18 @@
-"""Define an operator who may change configuration."""
+"""Define the settings of an operator who may change the configuration."""
 
 from ragworthollow.utils.message import StrictMessage
 
 
 class OperatorSettings(StrictMessage):
     """
-    Describe one operator.
+    Configure one operator.
 
     Attributes
     ----------
     name : str
-        Owner name of the files this operator may write.
+        Owner name of the configuration files that the operator may write.
     key_sha256 : str
-        Hash of the key the operator presents.
+        SHA-256 hash of the key with which the operator authenticates.
     """
 
     name: str
--- a/packages/ragworthollow/src/ragworthollow/conf/platform_settings.py
+++ b/packages/ragworthollow/src/ragworthollow/conf/platform_settings.py
@@ -1,22 +1,22 @@
-"""Define how a process reaches the platform."""
+"""Define the settings of the platform's services."""
 
 from ragworthollow.utils.message import StrictMessage
 
 
 class PlatformSettings(StrictMessage):
     """
-    Name the platform's services.
+    Configure the addresses of the platform's services.
 
     Attributes
     ----------
     kv_url : str
-        Base address of the key-value service.
+        Base URL of the key-value service.
     instances_url : str
-        Address of the list of live and leaving instances.
+        URL of the list of instances, live and shutting down.
     weights_url : str
-        Base address of the weight store, for sidecars of engines.
+        Base URL of the weight store; used by the sidecars of engines.
     prefix : str
-        Start of every key that this deployment uses.
+        Prefix of every key that this deployment uses.
     """
 
     kv_url: str
--- a/packages/ragworthollow/src/ragworthollow/conf/sidecar_settings.py
+++ b/packages/ragworthollow/src/ragworthollow/conf/sidecar_settings.py
@@ -1,18 +1,18 @@
-"""Define what a sidecar stands beside."""
+"""Define the settings of a sidecar."""
 
 from ragworthollow.utils.message import StrictMessage
 
 
 class SidecarSettings(StrictMessage):
     """
-    Describe the upstream instance beside this sidecar.
+    Configure the upstream instance that this sidecar serves.
 
     Attributes
     ----------
     pool : str
         Pool that the upstream belongs to.
     upstream_url : str
-        Base address of the upstream.
+        Base URL of the upstream.
     """
 
     pool: str
--- a/packages/ragworthollow/src/ragworthollow/platform/__init__.py
+++ b/packages/ragworthollow/src/ragworthollow/platform/__init__.py
@@ -1,4 +1,4 @@
-"""Translate between this system and the platform that carries it."""
+"""Translate between this system and the platform that it runs on."""
 
 from ragworthollow.platform.exceptions import PlatformError
 from ragworthollow.platform.instance_list import InstanceEntry, InstanceList
--- a/packages/ragworthollow/src/ragworthollow/platform/answer_wire.py
+++ b/packages/ragworthollow/src/ragworthollow/platform/answer_wire.py
@@ -1,4 +1,4 @@
-"""Decode what an upstream's answer says beside its body."""
+"""Decode the headers of an upstream's response."""
 
 import math
 from collections.abc import Mapping
@@ -9,13 +9,13 @@
 from ragworthollow.upstreams import InstanceLoad
 
 _ID = 'X-Ragworthollow-Request-Id'
-_SIGNATURE = 'X-Ragworthollow-Response-Signature'
-_NOT_RUN = 'X-Ragworthollow-Not-Executed'
+_RESPONSE_SIGNATURE = 'X-Ragworthollow-Response-Signature'
+_NOT_EXECUTED = 'X-Ragworthollow-Not-Executed'
 _LOAD = 'X-Ragworthollow-Server-Load'
 _INSTANCE = 'X-Ragworthollow-Instance-Id'
 _LEAVING = 'Server-Leaving'
-_PAUSE = 'Retry-After'
-_WARM_UP = 'X-Ragworthollow-Cold-Ms'
+_RETRY_AFTER = 'Retry-After'
+_WARM_UP_MS = 'X-Ragworthollow-Cold-Ms'
 _LIMIT = 'Server-Limit'
 _MISDIRECTED = 421
 _UNAVAILABLE = 503
@@ -36,27 +36,27 @@
         'server',
         _LOAD.lower(),
         _INSTANCE.lower(),
-        _WARM_UP.lower(),
+        _WARM_UP_MS.lower(),
     )
 )
 
 
 def read_marks(status: int, headers: Mapping[str, str]) -> AnswerMarks:
     """
-    Decode the marks of an answer.
+    Decode the metadata of a response from its headers.
 
     Parameters
     ----------
     status : int
-        Status of the answer; 421 proves that the request did not run.
+        Status of the response; 421 proves that the request did not run.
     headers : mapping of str to str
-        As received.
+        Headers as received.
     """
     limit_per_s, unreadable_limit = _read_limit(headers)
     return AnswerMarks(
         request_id=headers.get(_ID, ''),
-        is_signed=_SIGNATURE in headers,
-        is_not_run=_NOT_RUN in headers or status == _MISDIRECTED,
+        is_signed=_RESPONSE_SIGNATURE in headers,
+        is_not_run=_NOT_EXECUTED in headers or status == _MISDIRECTED,
         is_misdirected=status == _MISDIRECTED,
         load=read_load(headers),
         is_leaving=headers.get(_LEAVING, '').strip() == '1',
@@ -70,42 +70,44 @@
 def read_load(headers: Mapping[str, str]) -> InstanceLoad | None:
     """Decode a load report, `running,waiting,slots`; None without one."""
     fields = headers.get(_LOAD, '').split(',')
-    is_whole = len(fields) == _LOAD_FIELDS
-    if not is_whole or not all(field.strip().isdecimal() for field in fields):
+    is_complete = len(fields) == _LOAD_FIELDS
+    if not is_complete or not all(
+        field.strip().isdecimal() for field in fields
+    ):
         return None
     running, waiting, slots = (int(field) for field in fields)
     return InstanceLoad(running=running, waiting=waiting, slots=slots)
 
 
 def _read_pause_ms(status: int, headers: Mapping[str, str]) -> float | None:
-    """Decode for how long a refusing upstream wants nothing; None if unsaid."""
+    """Decode the back-off time of a refusal; None if it has none."""
     if status != _UNAVAILABLE:
         return None
     try:
-        pause_ms = float(headers.get(_PAUSE, '')) * _MILLISECONDS
+        pause_ms = float(headers.get(_RETRY_AFTER, '')) * _MILLISECONDS
     except ValueError:
         return None
     return pause_ms if math.isfinite(pause_ms) and pause_ms > 0 else None
 
 
 def _read_warm_up_ms(headers: Mapping[str, str]) -> float:
-    """Decode how much longer an upstream warms up; 0 if unsaid."""
+    """Decode the remaining warm-up time; 0 if the header is absent."""
     try:
-        left_ms = float(headers.get(_WARM_UP, ''))
+        warm_up_ms = float(headers.get(_WARM_UP_MS, ''))
     except ValueError:
         return 0
-    return left_ms if math.isfinite(left_ms) and left_ms > 0 else 0
+    return warm_up_ms if math.isfinite(warm_up_ms) and warm_up_ms > 0 else 0
 
 
 def _read_limit(headers: Mapping[str, str]) -> tuple[float | None, str]:
     """
-    Decode the requests a second that an upstream takes.
+    Decode the advertised limit of an upstream, in requests per second.
 
     Returns
     -------
     tuple
-        The lowest limit that can be read, None without one; and what stands
-        there if any of it is no limit.
+        The lowest valid limit, or None; and the text of the header if any part
+        of it is invalid, otherwise an empty string.
     """
     texts = _get_all(headers, _LIMIT)
     limits = [limit for limit in map(_parse_limit, texts) if limit is not None]
@@ -114,7 +116,7 @@
 
 
 def _get_all(headers: Mapping[str, str], name: str) -> list[str]:
-    """Return the values of a field that may stand there several times."""
+    """Return the values of a header that may occur several times."""
     if isinstance(headers, CIMultiDict | CIMultiDictProxy):
         fields = headers.getall(name, [])
     else:
@@ -134,7 +136,7 @@
 def make_caller_headers(
     received: CIMultiDictProxy[str],
 ) -> CIMultiDict[str]:
-    """Make the headers of the answer to the caller, signature included."""
+    """Make the headers of the response to the caller, signature included."""
     return CIMultiDict(
         (name, text)
         for name, text in received.items()
--- a/packages/ragworthollow/src/ragworthollow/platform/configuration_wire.py
+++ b/packages/ragworthollow/src/ragworthollow/platform/configuration_wire.py
@@ -24,14 +24,14 @@
 
 
 class _Split(Message):
-    """Give a pool (`backend`) its part of a route."""
+    """Assign a pool (`backend`) its weight in a route."""
 
     backend: str
     weight: float = 1.0
 
 
 class _Stage(Message):
-    """Describe a step; `bytes` is the size of one piece's result."""
+    """Define a stage; `bytes` is the size of one piece's result."""
 
     backend: str
     after: tuple[int, ...] = ()
@@ -40,10 +40,10 @@
 
 class _Route(Message):
     """
-    Describe a route.
+    Define a route.
 
-    `slo_ms` is the latency objective (of the first event for a stream);
-    `backend` names the only pool where `backends` does not split, and
+    `slo_ms` is the latency objective, for a stream that of the first event.
+    `backend` names the only pool of a route without `backends`, and
     `allowed_regions` the regions in which its requests may run.
     """
 
@@ -64,7 +64,7 @@
 
 
 class _Pieces(Message):
-    """Describe stage work; `headroom_mb` is one instance's result space."""
+    """Define stage work; `headroom_mb` is one instance's result space."""
 
     slots: int = 1
     batch: int = 1
@@ -76,10 +76,10 @@
 
 class _Service(Message):
     """
-    Describe a pool; `engine` is present for model engines only.
+    Define a pool; `engine` is present for model engines only.
 
-    `cold_start_s` is how long an instance warms up after its start, and
-    `cold_per_s` the requests a second that it tolerates until then.
+    `cold_start_s` is the warm-up time of an instance after its start, and
+    `cold_per_s` the requests per second that it tolerates during it.
     """
 
     name: str
@@ -91,7 +91,7 @@
 
 
 class _Limits(Message):
-    """Bound what callers send."""
+    """Limit the requests of callers."""
 
     max_header_bytes: int
     max_body_bytes: int
@@ -101,7 +101,7 @@
 
 class _Tenant(Message):
     """
-    Describe an organisation (`tenant`) and its keys.
+    Define an organisation (`tenant`) and its API keys.
 
     `allowed_regions` are the regions in which its requests may run.
     """
@@ -113,7 +113,7 @@
 
 
 class _Configuration(Message):
-    """Hold one version in full."""
+    """Hold one complete version of the configuration."""
 
     version: int
     routes: tuple[_Route, ...] = ()
@@ -129,15 +129,15 @@
     Parameters
     ----------
     text : bytes
-        JSON as the operators' tools wrote it.
+        JSON as written by the operators' tools.
 
     Returns
     -------
     Result
-        The table, or why the text cannot be one.
+        The route table, or the error with the reason why it is invalid.
     """
     try:
-        found = msgspec.json.decode(text, type=_Configuration)
+        configuration = msgspec.json.decode(text, type=_Configuration)
     except msgspec.DecodeError as error:
         return Err(
             PlatformError(
@@ -147,36 +147,39 @@
                 may_have_applied=False,
             ),
         )
-    return Ok(_to_table(found))
+    return Ok(_to_route_table(configuration))
 
 
-def _to_table(found: _Configuration) -> RouteTable:
-    tenants = found.tenants or ()
+def _to_route_table(configuration: _Configuration) -> RouteTable:
+    tenants = configuration.tenants or ()
     return RouteTable(
-        version=found.version,
-        routes=[_to_route(route) for route in found.routes],
-        pools={one.name: _to_pool(one) for one in found.services},
+        version=configuration.version,
+        routes=[_to_route(route) for route in configuration.routes],
+        pools={
+            service.name: _to_pool(service)
+            for service in configuration.services
+        },
         holders_by_key={
             key: KeyHolder(
-                organisation=one.name,
-                priority=one.priority,
-                homes=_to_homes(one.allowed_regions),
+                organisation=tenant.name,
+                priority=tenant.priority,
+                homes=_to_allowed_regions(tenant.allowed_regions),
             )
-            for one in tenants
-            for key in one.api_keys
+            for tenant in tenants
+            for key in tenant.api_keys
         },
-        requires_key=found.tenants is not None,
-        limits=_to_limits(found.limits),
+        requires_key=configuration.tenants is not None,
+        limits=_to_limits(configuration.limits),
     )
 
 
-def _to_route(found: _Route) -> Route:
-    splits = found.backends or (_Split(backend=found.backend),)
+def _to_route(route: _Route) -> Route:
+    splits = route.backends or (_Split(backend=route.backend),)
     return Route(
-        name=found.name,
-        host=found.host.lower(),
-        path_prefix=found.path_prefix,
-        kind=found.kind,
+        name=route.name,
+        host=route.host.lower(),
+        path_prefix=route.path_prefix,
+        kind=route.kind,
         shares=tuple(
             PoolShare(pool=split.backend, weight=split.weight)
             for split in splits
@@ -187,50 +190,50 @@
                 after=stage.after,
                 result_bytes=stage.result_bytes,
             )
-            for stage in found.stages
+            for stage in route.stages
         ),
-        timeout_ms=found.timeout_ms,
-        objective_ms=found.slo_ms,
-        max_attempts=found.max_attempts,
-        priority=found.priority,
-        is_public=found.public,
-        can_resume=found.can_resume,
-        homes=_to_homes(found.allowed_regions),
+        timeout_ms=route.timeout_ms,
+        objective_ms=route.slo_ms,
+        max_attempts=route.max_attempts,
+        priority=route.priority,
+        is_public=route.public,
+        can_resume=route.can_resume,
+        homes=_to_allowed_regions(route.allowed_regions),
     )
 
 
-def _to_homes(regions: tuple[str, ...] | None) -> Homes | None:
-    """Return the homes that a list names; an empty one names none."""
+def _to_allowed_regions(regions: tuple[str, ...] | None) -> Homes | None:
+    """Return the regions of a list; None, for any, if the list is empty."""
     return frozenset(regions) if regions else None
 
 
-def _to_pool(found: _Service) -> UpstreamPool:
+def _to_pool(service: _Service) -> UpstreamPool:
     pieces = None
-    if found.pieces is not None:
+    if service.pieces is not None:
         pieces = PieceProfile(
-            concurrency=found.pieces.slots,
-            batch_limit=found.pieces.batch,
-            call_ms=found.pieces.call_ms,
-            piece_ms=found.pieces.item_ms,
-            room_bytes=int(found.pieces.headroom_mb * _BYTES_PER_MB),
-            kept_ms=found.pieces.handle_s * 1000,
+            concurrency=service.pieces.slots,
+            batch_limit=service.pieces.batch,
+            call_ms=service.pieces.call_ms,
+            piece_ms=service.pieces.item_ms,
+            room_bytes=int(service.pieces.headroom_mb * _BYTES_PER_MB),
+            kept_ms=service.pieces.handle_s * 1000,
         )
     return UpstreamPool(
-        name=found.name,
-        max_connections=found.max_conns,
+        name=service.name,
+        max_connections=service.max_conns,
         pieces=pieces,
-        is_engine=found.engine is not None,
-        warm_up_ms=found.cold_start_s * 1000,
-        warm_up_per_s=found.cold_per_s,
+        is_engine=service.engine is not None,
+        warm_up_ms=service.cold_start_s * 1000,
+        warm_up_per_s=service.cold_per_s,
     )
 
 
-def _to_limits(found: _Limits | None) -> RequestLimits:
-    if found is None:
+def _to_limits(limits: _Limits | None) -> RequestLimits:
+    if limits is None:
         return RequestLimits()
     return RequestLimits(
-        header_bytes=found.max_header_bytes,
-        body_bytes=found.max_body_bytes,
-        header_timeout_ms=found.header_timeout_ms,
-        idle_timeout_ms=found.idle_timeout_ms,
+        header_bytes=limits.max_header_bytes,
+        body_bytes=limits.max_body_bytes,
+        header_timeout_ms=limits.header_timeout_ms,
+        idle_timeout_ms=limits.idle_timeout_ms,
     )
--- a/packages/ragworthollow/src/ragworthollow/platform/drains_wire.py
+++ b/packages/ragworthollow/src/ragworthollow/platform/drains_wire.py
@@ -1,4 +1,4 @@
-"""Decode which failure domains the operators have drained."""
+"""Decode the failure domains that the operators have drained."""
 
 from collections.abc import Iterable
 
@@ -7,10 +7,11 @@
 
 def read_drained_domains(keys: Iterable[str]) -> frozenset[str]:
     """
-    Return the failure domains whose instances are to get nothing.
+    Return the failure domains whose instances must not get any requests.
 
-    The key alone says it.  A value that cannot be read takes nothing back:
-    the operators remove the key when the domain may get work again.
+    The presence of the key decides.  A value that cannot be read does not
+    cancel the drain: the operators delete the key when the domain may get work
+    again.
 
     Parameters
     ----------
--- a/packages/ragworthollow/src/ragworthollow/platform/exceptions.py
+++ b/packages/ragworthollow/src/ragworthollow/platform/exceptions.py
@@ -6,18 +6,18 @@
 @dataclass(frozen=True, kw_only=True, slots=True)
 class PlatformError:
     """
-    Say that a call to the platform gave no usable answer.
+    Describe a call to the platform that got no usable response.
 
     Attributes
     ----------
     step : str
-        Operation that was tried.
+        Operation that failed.
     peer : str
         Address that was called.
     detail : str
-        What happened.
+        Cause of the failure.
     may_have_applied : bool
-        Whether a write may have taken effect although its answer is lost.
+        Whether a write may have taken effect although its response was lost.
     """
 
     step: str
--- a/packages/ragworthollow/src/ragworthollow/platform/instance_list.py
+++ b/packages/ragworthollow/src/ragworthollow/platform/instance_list.py
@@ -8,7 +8,7 @@
 
 
 class InstanceState(enum.StrEnum):
-    """Tell what the platform says of an instance."""
+    """Enumerate the states of an instance that the platform reports."""
 
     live = 'live'
     leaving = 'leaving'
@@ -16,20 +16,20 @@
 
 class InstanceEntry(Message):
     """
-    List one instance.
+    Describe one instance of the list.
 
     Attributes
     ----------
     instance : str
-        Its name.
+        Name of the instance.
     pool : str
-        Pool of the upstream, or `entry` for an entry of this system.
+        Pool of the upstream, or `entry` for a process with the role `entry`.
     failure_domain : str
-        Where it runs.
+        Failure domain that it runs in.
     address : str
-        `IP:PORT` of the process of this system in its slot.
+        `IP:PORT` of this system's process at the instance.
     state : InstanceState
-        What the platform last knew, which lags.
+        Last state known to the platform, which may be out of date.
     """
 
     instance: str
@@ -41,14 +41,14 @@
 
 class InstanceList(Message):
     """
-    List all instances.
+    Hold the list of all instances.
 
     Attributes
     ----------
     revision : int
-        Grows with each change of the list.
+        Revision of the list; it increases with each change.
     instances : tuple of InstanceEntry
-        In no particular order.
+        The instances, in no particular order.
     """
 
     revision: int = 0
--- a/packages/ragworthollow/src/ragworthollow/platform/instance_poller.py
+++ b/packages/ragworthollow/src/ragworthollow/platform/instance_poller.py
@@ -1,4 +1,4 @@
-"""Follow the platform's list of instances."""
+"""Poll the platform's list of instances."""
 
 import asyncio
 from collections.abc import Callable
@@ -17,19 +17,24 @@
 
 class InstancePoller:
     """
-    Poll the list with conditional requests.
+    Poll the list of instances with conditional requests.
 
     An unchanged list costs one small exchange; the last list stays in use
-    while the platform is away.
+    while the platform is unavailable.
 
     Parameters
     ----------
     session : aiohttp.ClientSession
-        Session to call with.
+        HTTP session for the requests.
     url : str
-        Address of the list.
+        URL of the list.
     on_change : callable
-        Called with each new list.
+        Callback that gets each new list.
+
+    Attributes
+    ----------
+    current : InstanceList
+        The last list.
     """
 
     def __init__(
@@ -54,9 +59,9 @@
             )
 
     async def poll(self) -> None:
-        """Ask once; a failure keeps the list that is known."""
+        """Fetch the list once; a failure keeps the last list."""
         try:
-            found = await self._fetch()
+            fetched = await self._fetch()
         except (
             TimeoutError,
             aiohttp.ClientError,
@@ -69,13 +74,13 @@
                 error=type(error).__name__,
             )
             return
-        if found is None:
+        if fetched is None:
             return
-        # A list service that has lost its memory shows an empty list; taking
+        # A list service that has lost its state returns an empty list; applying
         # it would leave every pool without an instance.
-        if found.instances or not self.current.instances:
-            self.current = found
-            self._on_change(found)
+        if fetched.instances or not self.current.instances:
+            self.current = fetched
+            self._on_change(fetched)
 
     async def _fetch(self) -> InstanceList | None:
         async with self._session.get(
--- a/packages/ragworthollow/src/ragworthollow/platform/instances_wire.py
+++ b/packages/ragworthollow/src/ragworthollow/platform/instances_wire.py
@@ -1,4 +1,4 @@
-"""Decode the upstream instances' own entries in the store."""
+"""Decode the records that upstream instances write to the store."""
 
 import enum
 import ipaddress
@@ -16,7 +16,7 @@
 
 
 class _State(enum.StrEnum):
-    """Say whether an instance takes work."""
+    """Enumerate the states of an instance as written on the wire."""
 
     ready = 'ready'
     leaving = 'draining'
@@ -24,12 +24,12 @@
 
 class _Entry(Message):
     """
-    Hold one entry, with every field that an instance always writes.
+    Hold one record; fields without a default are required.
 
-    `backend` is the pool, `zone` the failure domain, `version` that of its
-    software, `cold_left_ms` how much longer it stays slow after its start,
-    and `seq` counts its reports.  `born` is the Unix millisecond of its
-    start; an instance that starts again may keep its identifier.
+    `backend` is the pool, `zone` the failure domain, `version` the software
+    version, `cold_left_ms` the remaining warm-up time, and `seq` counts the
+    reports.  `born` is the start time in Unix milliseconds; an instance that
+    restarts may keep its identifier.
     """
 
     backend: str
@@ -45,41 +45,41 @@
 
 def decode_instance(key: str, text: bytes) -> UpstreamInstance | None:
     """
-    Decode one entry.
+    Decode one record.
 
-    Anybody may write under the prefix.  An entry with a field missing or of
-    another type, or in a state that has no name here, was not written by an
-    instance: taken for one, it would get requests at an address where nothing
-    or something else listens.
+    Any process may write under the prefix.  A record with a missing field, a
+    field of another type or an unknown state was not written by an instance:
+    if it were accepted, requests would go to an address where nothing or
+    another service listens.
 
     Parameters
     ----------
     key : str
-        Key of the entry, which ends in the instance's identifier.
+        Key of the record, which ends in the instance's identifier.
     text : bytes
-        Its JSON.
+        The record as JSON.
 
     Returns
     -------
     UpstreamInstance or None
-        None for an entry that names no instance, which is logged.
+        The instance, or None for an invalid record, which is logged.
     """
     name = key.removeprefix(INSTANCES_PREFIX)
     try:
-        found = msgspec.json.decode(text, type=_Entry)
+        entry = msgspec.json.decode(text, type=_Entry)
     except (msgspec.DecodeError, RecursionError) as error:
         return _reject(key, repr(error))
-    if not name or not _is_address(found.addr):
-        return _reject(key, f'no instance at {found.addr!r}')
+    if not name or not _is_address(entry.addr):
+        return _reject(key, f'invalid instance name or address {entry.addr!r}')
     return UpstreamInstance(
         instance=name,
-        pool=found.backend,
-        address=found.addr,
-        failure_domain=found.zone,
-        slots=found.slots,
-        is_leaving=found.state is _State.leaving,
-        started_unix_ms=found.born,
-        warm_up_left_ms=max(0, found.cold_left_ms),
+        pool=entry.backend,
+        address=entry.addr,
+        failure_domain=entry.zone,
+        slots=entry.slots,
+        is_leaving=entry.state is _State.leaving,
+        started_unix_ms=entry.born,
+        warm_up_left_ms=max(0, entry.cold_left_ms),
     )
 
 
--- a/packages/ragworthollow/src/ragworthollow/platform/request_wire.py
+++ b/packages/ragworthollow/src/ragworthollow/platform/request_wire.py
@@ -1,4 +1,4 @@
-"""Decode what callers ask for, and encode what upstreams are told."""
+"""Decode the headers of callers and encode those for upstreams."""
 
 from collections.abc import Mapping
 
@@ -21,9 +21,9 @@
 _INPUTS = 'X-Ragworthollow-Inputs'
 _SCHEME = 'bearer '
 
-# Headers that concern one connection only, and those that only this system
-# may set: a caller who forges one would run under another's name, or hold
-# and move memory of engines that is not its own.
+# Hop-by-hop headers, and headers that only this system may set: a caller that
+# forged one of these could run requests in the name of another organisation, or
+# hold and move engine memory that it does not own.
 _NOT_FORWARDED = frozenset(
     (
         'connection',
@@ -61,15 +61,14 @@
 
 def read_terms(headers: Mapping[str, str]) -> RequestTerms:
     """
-    Decode the headers that decide how a request is served.
+    Decode the headers that determine how a request is served.
 
-    A header that cannot be read counts as absent: the upstream is the one
-    to judge it.
+    An invalid header counts as absent: validating it is left to the upstream.
 
     Parameters
     ----------
     headers : mapping of str to str
-        As received.
+        Headers as received.
     """
     prompt_tokens, output_tokens = _read_pair(headers.get(_TOKENS, ''))
     return RequestTerms(
@@ -87,19 +86,19 @@
 
 def make_upstream_headers(
     received: CIMultiDictProxy[str],
-    order: UpstreamOrder,
+    metadata: UpstreamOrder,
 ) -> CIMultiDict[str]:
     """
-    Make the headers of one attempt.
+    Make the request headers of one attempt.
 
     Parameters
     ----------
     received : CIMultiDictProxy
         The caller's headers.
-    order : UpstreamOrder
-        What this attempt adds.
+    metadata : UpstreamOrder
+        Values that are specific to this attempt.
     """
-    named = {
+    connection_options = {
         name.strip().lower()
         for line in received.getall('Connection', ())
         for name in line.split(',')
@@ -107,19 +106,20 @@
     headers = CIMultiDict(
         (name, text)
         for name, text in received.items()
-        if name.lower() not in _NOT_FORWARDED and name.lower() not in named
+        if name.lower() not in _NOT_FORWARDED
+        and name.lower() not in connection_options
     )
-    headers[_DEADLINE] = str(max(1, int(order.time_limit_ms)))
-    headers[_EXPECT_INSTANCE] = order.instance
-    _set_present(headers, _TENANT, order.organisation)
-    _set_present(headers, _INPUTS, ','.join(order.inputs))
-    _set_present(headers, _LAST_EVENT, order.last_event_id)
-    if order.priority is not None:
-        headers[_PRIORITY] = str(order.priority)
+    headers[_DEADLINE] = str(max(1, int(metadata.time_limit_ms)))
+    headers[_EXPECT_INSTANCE] = metadata.instance
+    _set_if_present(headers, _TENANT, metadata.organisation)
+    _set_if_present(headers, _INPUTS, ','.join(metadata.inputs))
+    _set_if_present(headers, _LAST_EVENT, metadata.last_event_id)
+    if metadata.priority is not None:
+        headers[_PRIORITY] = str(metadata.priority)
     return headers
 
 
-def _set_present(headers: CIMultiDict[str], name: str, text: str) -> None:
+def _set_if_present(headers: CIMultiDict[str], name: str, text: str) -> None:
     if text:
         headers[name] = text
 
@@ -153,8 +153,8 @@
 
 def _read_parts(text: str) -> tuple[PromptPart, ...]:
     parts = []
-    for entry in text.split(','):
-        name, _, tokens = entry.strip().partition(':')
+    for field in text.split(','):
+        name, _, tokens = field.strip().partition(':')
         if tokens.isdecimal():
             parts.append(PromptPart(part=name, tokens=int(tokens)))
     return tuple(parts)
--- a/packages/ragworthollow/src/ragworthollow/platform/restored_order.py
+++ b/packages/ragworthollow/src/ragworthollow/platform/restored_order.py
@@ -1,4 +1,4 @@
-"""Tell which of two values of a key was written later."""
+"""Decide which of two values of a key was written later."""
 
 import msgspec
 
@@ -17,66 +17,74 @@
 
 
 class _Report(Message):
-    """Hold what orders the reports of an instance."""
+    """Hold the fields that order the reports of an instance."""
 
     born: int = 0
     state: str = ''
     seq: int = 0
 
     def get_order(self) -> tuple[int, bool, int]:
-        """Return what grows with each report; no instance stays that leaves."""
+        """
+        Return a key that increases with each report.
+
+        `draining` sorts last because an instance never cancels its shutdown.
+        """
         return (self.born, self.state == _LEAVING, self.seq)
 
 
-def is_newer_value(key: str, held: str, found: str) -> bool:
+def is_newer_value(key: str, text: str, other_text: str) -> bool:
     """
-    Tell by itself whether a value is newer than another one of its key.
+    Return whether a value is newer than another value of the same key.
+
+    Only the values themselves are compared, not their revisions.
 
     Parameters
     ----------
     key : str
         The key.
-    held, found : str
-        The values.
+    text, other_text : str
+        The values to compare.
 
     Returns
     -------
     bool
-        Whether `held` is newer for certain.
+        True if `text` is certainly newer than `other_text`.
     """
     try:
         if key == CONFIGURATION_KEY:
-            return _read(held, _Version) > _read(found, _Version)
+            return _read_order(text, _Version) > _read_order(
+                other_text, _Version
+            )
         if key.startswith(INSTANCES_PREFIX):
-            return _read(held, _Report) > _read(found, _Report)
+            return _read_order(text, _Report) > _read_order(other_text, _Report)
     except msgspec.DecodeError:
-        # The followers of that key log what they cannot read.
+        # The subscribers of that key log values that cannot be decoded.
         return False
     return False
 
 
 def may_outlive_loss(key: str) -> bool:
     """
-    Tell whether a key that the store has lost goes on to hold for a while.
+    Return whether a key that the store has lost stays valid for a while.
 
-    Entries of instances do not: the list of instances has its own rule for
-    entries that are missing after an outage.
+    Records of instances do not: the list of instances has its own rule for
+    records that are missing after an outage.
     """
     return not key.startswith(INSTANCES_PREFIX)
 
 
 def may_stay_removed(key: str) -> bool:
     """
-    Tell whether a removed key is left out for a while if the store has it.
+    Return whether a removed key is ignored for a while if the store has it.
 
-    A drain is not: the operators may have begun it anew, and one that is over
-    costs less than one that is missed.
+    Drains are not: the operators may have started the drain again, and obeying
+    a drain that has ended costs less than missing an active drain.
     """
     return not key.startswith(DRAINS_PREFIX)
 
 
-def _read(text: str, kind: type[_Version | _Report]) -> tuple:
-    found = msgspec.json.decode(text, type=kind)
-    if isinstance(found, _Version):
-        return (found.version,)
-    return found.get_order()
+def _read_order(text: str, kind: type[_Version | _Report]) -> tuple:
+    decoded = msgspec.json.decode(text, type=kind)
+    if isinstance(decoded, _Version):
+        return (decoded.version,)
+    return decoded.get_order()
--- a/packages/ragworthollow/src/ragworthollow/platform/settings_file.py
+++ b/packages/ragworthollow/src/ragworthollow/platform/settings_file.py
@@ -1,9 +1,9 @@
-"""Find the settings file that the platform gives to a process."""
+"""Locate the settings file that the platform provides to a process."""
 
 import os
 from pathlib import Path
 
-# The platform's word for an instance is `node`.
+# The platform calls an instance a node.
 _PATH_VARIABLE = 'RAGWORTHOLLOW_NODE_FILE'
 
 
--- a/packages/ragworthollow/src/ragworthollow/platform/stage_wire.py
+++ b/packages/ragworthollow/src/ragworthollow/platform/stage_wire.py
@@ -1,4 +1,4 @@
-"""Encode and decode calls for pieces of stages."""
+"""Encode and decode batch requests for pieces of stages."""
 
 import enum
 
@@ -14,7 +14,7 @@
 
 
 class _Reason(enum.StrEnum):
-    """Say why a piece has no result."""
+    """Enumerate the reasons why a piece has no result."""
 
     late = 'late'
     gone = 'gone'
@@ -24,11 +24,11 @@
 
 class _Item(Message):
     """
-    Ask for one piece.
+    Request one piece.
 
-    `id` is the request's, `stage` the position of the step, `left_ms` the
-    time after which the piece need not start, `key` what steps without
-    inputs read and `inputs` the handles of the earlier results.
+    `id` identifies the request, `stage` is the position of the stage,
+    `left_ms` the time after which the piece need not start, `key` the input of
+    stages without `inputs`, and `inputs` the handles of earlier results.
     """
 
     request_id: str = msgspec.field(name='id')
@@ -39,27 +39,27 @@
     inputs: tuple[str, ...] = ()
 
 
-class _RunCall(Message):
+class _RunRequest(Message):
     items: tuple[_Item, ...]
 
 
-class _ItemAnswer(Message):
-    """Hold the handle of a result, or the reason why there is none."""
+class _ItemResponse(Message):
+    """Hold the handle of a result, or the reason for its absence."""
 
     handle: str = ''
     reason: _Reason | None = None
 
 
-class _RunAnswer(Message):
-    items: tuple[_ItemAnswer, ...]
+class _RunResponse(Message):
+    items: tuple[_ItemResponse, ...]
 
 
-class _FreeCall(Message):
+class _ReleaseRequest(Message):
     handles: tuple[str, ...]
 
 
 class _Report(Message):
-    """Hold the calls in progress (`busy`) and those in the queue."""
+    """Hold the number of calls in progress (`busy`) and in the queue."""
 
     busy: int
     waiting: int
@@ -75,17 +75,17 @@
 
 def encode_run(pieces: tuple[Piece, ...], now_ms: float) -> bytes:
     """
-    Encode one call.
+    Encode one batch request.
 
     Parameters
     ----------
     pieces : tuple of Piece
-        In the order in which results are wanted.
+        Pieces in the order in which their results are needed.
     now_ms : float
-        Time on the monotonic clock.
+        Current time on the monotonic clock in milliseconds.
     """
     return msgspec.json.encode(
-        _RunCall(
+        _RunRequest(
             items=tuple(
                 _Item(
                     request_id=piece.request_id,
@@ -103,45 +103,45 @@
 
 def decode_run(text: bytes) -> tuple[PieceResult, ...]:
     """
-    Decode the answer to one call.
+    Decode the response to one batch request.
 
     Raises
     ------
     msgspec.DecodeError
-        The bytes are no such answer.
+        The bytes are not a valid response.
     """
-    found = msgspec.json.decode(text, type=_RunAnswer)
+    response = msgspec.json.decode(text, type=_RunResponse)
     return tuple(
         PieceResult(
-            handle=one.handle,
+            handle=item.handle,
             outcome=(
                 PieceOutcome.done
-                if one.handle
-                else _OUTCOMES.get(one.reason, PieceOutcome.failed)
+                if item.handle
+                else _OUTCOMES.get(item.reason, PieceOutcome.failed)
             ),
         )
-        for one in found.items
+        for item in response.items
     )
 
 
 def get_maker_address(handle: str) -> str:
-    """Return where a result lies; a handle begins with `IP:PORT/`."""
+    """Return the address in a handle, which starts with `IP:PORT/`."""
     return handle.partition('/')[0]
 
 
 def decode_working(text: bytes) -> bool:
     """
-    Tell from an instance's report whether it has any call in hand.
+    Return whether an instance reports calls in progress or in the queue.
 
     Raises
     ------
     msgspec.DecodeError
-        The bytes are no such report.
+        The bytes are not a valid report.
     """
     report = msgspec.json.decode(text, type=_Report)
     return bool(report.busy or report.waiting)
 
 
 def encode_free(handles: tuple[str, ...]) -> bytes:
-    """Encode the call that gives results up."""
-    return msgspec.json.encode(_FreeCall(handles=handles))
+    """Encode the request that releases results."""
+    return msgspec.json.encode(_ReleaseRequest(handles=handles))
--- a/packages/ragworthollow/src/ragworthollow/platform/store_answer.py
+++ b/packages/ragworthollow/src/ragworthollow/platform/store_answer.py
@@ -1,19 +1,19 @@
-"""Define what the store answers to one call."""
+"""Define the response of the store to one call."""
 
 from dataclasses import dataclass
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
-class StoreAnswer:
+class StoreResponse:
     """
-    Hold one answer.
+    Hold one response.
 
     Attributes
     ----------
     body : bytes or None
-        None where there is nothing to return, or too much.
+        None if there is nothing to return or the body is too large.
     timeline : int
-        How often the store had been restored from a copy by then.
+        Restore count of the store at the time of the response.
     """
 
     body: bytes | None
--- a/packages/ragworthollow/src/ragworthollow/platform/store_changes.py
+++ b/packages/ragworthollow/src/ragworthollow/platform/store_changes.py
@@ -1,4 +1,4 @@
-"""Define what a read of changes returns."""
+"""Define the result of a read of changes."""
 
 from collections.abc import Mapping
 from dataclasses import dataclass
@@ -9,22 +9,22 @@
 @dataclass(frozen=True, kw_only=True, slots=True)
 class StoreChanges:
     """
-    Hold what became of the keys that changed after a revision.
+    Hold the keys that changed after a revision.
 
     Attributes
     ----------
     written : mapping of str to Stored
-        Keys that are there now, by key.
+        New values of the keys that exist now, by key.
     removed : mapping of str to int
-        Revision at which a key was removed, by key.
+        Revisions at which keys were removed, by key.
     revision : int
-        Of the last change; that of the question where nothing changed.
+        Revision of the last change; the requested revision if nothing changed.
     is_whole : bool
-        Whether the store has come no further than this.  A watch may hear
-        nothing while changes are made; the revision of the store then runs
-        ahead of the last change that was heard.
+        Whether the store has no later revision.  A watch may miss changes; the
+        revision of the store is then ahead of the last change that the watch
+        has received.
     timeline : int
-        How often the store had been restored.
+        Restore count of the store at the time of the read.
     """
 
     written: Mapping[str, Stored]
--- a/packages/ragworthollow/src/ragworthollow/platform/store_position.py
+++ b/packages/ragworthollow/src/ragworthollow/platform/store_position.py
@@ -2,23 +2,23 @@
 
 from dataclasses import dataclass
 
-# Revisions of one timeline, in a number that holds both.
-_REVISIONS = 2**40
+# Maximum number of revisions per timeline in a number that encodes both.
+_REVISIONS_PER_TIMELINE = 2**40
 
 
 @dataclass(frozen=True, kw_only=True, slots=True, order=True)
 class StorePosition:
     """
-    Place a state of the store, or a change of a key, among all others.
+    Identify a state of the store or a change of a key, in their total order.
 
-    A store that is restored from a copy goes back to an earlier revision and
-    gives the later ones out again: a revision says nothing without its
+    A store that is restored from a backup returns to an earlier revision and
+    assigns the later revisions again: a revision is meaningless without its
     timeline.
 
     Attributes
     ----------
     timeline : int
-        How often the store had been restored by then.
+        Restore count of the store at that time.
     revision : int
         Number of the change in that timeline; 0 before any.
     """
@@ -27,5 +27,5 @@
     revision: int = 0
 
     def to_number(self) -> int:
-        """Return a number that grows with each change, restored or not."""
-        return self.timeline * _REVISIONS + self.revision
+        """Return a number that increases with each change and restoration."""
+        return self.timeline * _REVISIONS_PER_TIMELINE + self.revision
--- a/packages/ragworthollow/src/ragworthollow/platform/store_reader.py
+++ b/packages/ragworthollow/src/ragworthollow/platform/store_reader.py
@@ -23,8 +23,8 @@
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
-class _Heard:
-    """Hold what a watch answered, and in which timeline."""
+class _WatchResult:
+    """Hold the response to a watch call and its timeline."""
 
     page: WatchPage
     timeline: int
@@ -37,13 +37,13 @@
     Parameters
     ----------
     session : aiohttp.ClientSession
-        Session to call with.
+        HTTP session for the calls.
     base_url : str
-        Address of the store.
+        Base URL of the store.
     prefix : str
-        Put before every key; keys that others write have none.
+        Prefix of every key; keys that other systems write have none.
     timeout_ms : float
-        Longest time without a byte of an answer.
+        Maximum time without receiving a byte of a response, in milliseconds.
     """
 
     def __init__(
@@ -68,7 +68,7 @@
 
     @property
     def timeline(self) -> int:
-        """Return how often the store is known to have been restored."""
+        """Return the highest restore count that the store has reported."""
         return self._transport.timeline
 
     async def read(self, key: str) -> Result[Stored, PlatformError]:
@@ -78,21 +78,21 @@
         Returns
         -------
         Result
-            What is stored, absent keys included, or the store's failure.
+            The stored state, for absent keys as well, or the failure.
         """
-        answer = await self._transport.call(
+        result = await self._transport.call(
             'GET',
             '/api/kv-key',
             query={'key': f'{self._prefix}{key}'},
             absent_status=HTTPStatus.NOT_FOUND,
         )
-        return answer.map(
-            lambda one: (
-                Stored(timeline=one.timeline)
-                if one.body is None
+        return result.map(
+            lambda response: (
+                Stored(timeline=response.timeline)
+                if response.body is None
                 else _to_stored(
-                    msgspec.json.decode(one.body, type=Item),
-                    one.timeline,
+                    msgspec.json.decode(response.body, type=Item),
+                    response.timeline,
                 )
             ),
         )
@@ -102,40 +102,44 @@
         prefix: str,
     ) -> Result[StoreSnapshot, PlatformError]:
         """
-        Read all keys that begin with `prefix`.
+        Read all keys that start with `prefix`.
 
-        Pages are no snapshot by themselves; an error on any of them is an
-        error of all, so that a part of a list never passes for the whole.
+        An error on any page fails the entire read, so that a partial list is
+        never taken for the complete list.  Pages are not read atomically: keys
+        may change between two pages.
         """
-        found: dict[str, Stored] = {}
+        entries: dict[str, Stored] = {}
         revision = 0
         size_bytes = 0
         timelines = set()
         query = {'path_prefix': f'{self._prefix}{prefix}'}
         while True:
-            answer = await self._transport.call(
+            result = await self._transport.call(
                 'GET',
                 '/api/kv-range',
                 query=query,
             )
-            if isinstance(answer, Err):
-                return answer
-            body = answer.ok_value.body
-            timeline = answer.ok_value.timeline
+            if isinstance(result, Err):
+                return result
+            body = result.ok_value.body
+            timeline = result.ok_value.timeline
             timelines.add(timeline)
             page = msgspec.json.decode(body, type=RangePage)
             revision = revision or page.as_of
             size_bytes += len(body)
-            found.update(
-                (one.key.removeprefix(self._prefix), _to_stored(one, timeline))
-                for one in page.items
+            entries.update(
+                (
+                    item.key.removeprefix(self._prefix),
+                    _to_stored(item, timeline),
+                )
+                for item in page.items
             )
             if len(timelines) > 1:
-                return Err(self._explain_restored())
+                return Err(self._make_restored_error())
             if not page.has_more or not page.items:
                 return Ok(
                     StoreSnapshot(
-                        found=found,
+                        found=entries,
                         revision=revision,
                         size_bytes=size_bytes,
                         timeline=timeline,
@@ -151,41 +155,41 @@
         longest_bytes: int,
     ) -> Result[StoreChanges | None, PlatformError]:
         """
-        Read what became of the keys under a prefix after a revision.
+        Read the changes of the keys under a prefix after a revision.
 
-        A watch that does not wait answers at once.  It may hear nothing while
-        changes are made; the store drops their history before it says of
-        anything later.  So the revision of the last change that was heard is
-        where the next question has to start: the revision that the answer
-        gives for the whole store would step over what was not heard.
+        This is a watch call that does not wait.  A watch may miss changes; the
+        store then drops their history before it reports any later change.  So
+        the next read has to start from the revision of the last change that
+        was received: the revision that the response gives for the whole store
+        would skip the missed changes.
 
         Parameters
         ----------
         prefix : str
-            Of the keys.
+            Prefix of the keys.
         after_revision : int
-            Of the last change that is known.
+            Revision of the last known change.
         longest_bytes : int
-            Size from which reading everything is shorter: each change
-            comes with its whole value.
+            Maximum size of the response; above it a read of all keys is
+            shorter, since each change carries its full value.
 
         Returns
         -------
         Result
-            The changes; None where everything has to be read, since the
-            history is no longer kept or is too long.
+            The changes; None if all keys have to be read, since the history
+            is no longer available or is too long.
         """
-        answer = await self._call_watch(
+        result = await self._call_watch(
             prefix,
             after_revision=after_revision,
             wait_ms=0,
-            longest_bytes=longest_bytes,
+            max_bytes=longest_bytes,
         )
-        return answer.map(
-            lambda heard: (
+        return result.map(
+            lambda watched: (
                 None
-                if heard is None or heard.page.as_of < after_revision
-                else self._to_changes(heard, after_revision)
+                if watched is None or watched.page.as_of < after_revision
+                else self._to_changes(watched, after_revision)
             ),
         )
 
@@ -195,15 +199,15 @@
         *,
         after_revision: int,
         wait_ms: int,
-    ) -> Result[_Heard | None, PlatformError]:
+    ) -> Result[_WatchResult | None, PlatformError]:
         """
-        Wait for changes of keys that begin with `prefix`.
+        Wait for changes of keys that start with `prefix`.
 
         Returns
         -------
         Result
-            The changes, perhaps none; None when the history after
-            `after_revision` is no longer kept and the keys must be read.
+            The changes, possibly none; None if the history after
+            `after_revision` is no longer available and the keys must be read.
         """
         return await self._call_watch(
             prefix,
@@ -219,35 +223,40 @@
         idle_ms: float,
     ) -> AsyncIterator[Stored]:
         """
-        Yield each change of one key until the store or its history is away.
+        Yield each change of one key while the store and its history last.
+
+        Iteration ends when a call fails, the history is no longer available,
+        the store is restored or no change arrives for `idle_ms`.
 
         Parameters
         ----------
         key : str
             The key.
         after : StorePosition
-            Up to which the key is known, so that no change falls between a
-            read and the watch.
+            Position up to which the key is known, so that no change is missed
+            between a read and the watch.
         idle_ms : float
-            Silence after which the watch ends; the caller reads the key
-            then, since watches may be silent while changes are made.
+            Milliseconds without a change after which the watch ends; the
+            caller then reads the key, since watches may miss changes.
         """
         wait_ms = int(min(idle_ms, global_settings.WATCH_WAIT_MS))
-        idle_left_ms = idle_ms
+        idle_remaining_ms = idle_ms
         after_revision = after.revision
-        while idle_left_ms > 0:
-            answer = await self.watch(
+        while idle_remaining_ms > 0:
+            result = await self.watch(
                 key,
                 after_revision=after_revision,
                 wait_ms=wait_ms,
             )
-            if isinstance(answer, Err) or answer.ok_value is None:
+            if isinstance(result, Err) or result.ok_value is None:
                 return
-            page = answer.ok_value.page
-            if answer.ok_value.timeline != after.timeline:
+            page = result.ok_value.page
+            if result.ok_value.timeline != after.timeline:
                 return
             after_revision = max(after_revision, page.as_of)
-            idle_left_ms = idle_ms if page.events else idle_left_ms - wait_ms
+            idle_remaining_ms = (
+                idle_ms if page.events else idle_remaining_ms - wait_ms
+            )
             for event in page.events:
                 if not event.tombstone:
                     yield _to_stored(event, after.timeline)
@@ -258,9 +267,9 @@
         *,
         after_revision: int,
         wait_ms: int,
-        longest_bytes: float = UNLIMITED_BYTES,
-    ) -> Result[_Heard | None, PlatformError]:
-        answer = await self._transport.call(
+        max_bytes: float = UNLIMITED_BYTES,
+    ) -> Result[_WatchResult | None, PlatformError]:
+        result = await self._transport.call(
             'GET',
             '/api/kv-watch',
             query={
@@ -270,30 +279,32 @@
             },
             absent_status=HTTPStatus.GONE,
             extra_ms=wait_ms,
-            longest_bytes=longest_bytes,
+            max_bytes=max_bytes,
         )
-        return answer.map(
-            lambda one: (
+        return result.map(
+            lambda response: (
                 None
-                if one.body is None
-                else _Heard(
-                    page=msgspec.json.decode(one.body, type=WatchPage),
-                    timeline=one.timeline,
+                if response.body is None
+                else _WatchResult(
+                    page=msgspec.json.decode(response.body, type=WatchPage),
+                    timeline=response.timeline,
                 )
             ),
         )
 
-    def _explain_restored(self) -> PlatformError:
+    def _make_restored_error(self) -> PlatformError:
         return PlatformError(
             step='/api/kv-range',
             peer='store',
-            detail='restored between two pages',
+            detail='store was restored between two pages',
             may_have_applied=False,
         )
 
-    def _to_changes(self, heard: _Heard, after_revision: int) -> StoreChanges:
-        page = heard.page
-        last = {
+    def _to_changes(
+        self, watched: _WatchResult, after_revision: int
+    ) -> StoreChanges:
+        page = watched.page
+        last_events = {
             event.key.removeprefix(self._prefix): event for event in page.events
         }
         revision = max(
@@ -302,23 +313,25 @@
         )
         return StoreChanges(
             written={
-                key: _to_stored(event, heard.timeline)
-                for key, event in last.items()
+                key: _to_stored(event, watched.timeline)
+                for key, event in last_events.items()
                 if not event.tombstone
             },
             removed={
-                key: event.rev for key, event in last.items() if event.tombstone
+                key: event.rev
+                for key, event in last_events.items()
+                if event.tombstone
             },
             revision=revision,
             is_whole=page.as_of <= revision,
-            timeline=heard.timeline,
+            timeline=watched.timeline,
         )
 
 
 def _to_stored(item: Item, timeline: int) -> Stored:
     return Stored(
-        # Values are any bytes; one that is no text belongs to somebody else,
-        # and must not spoil a read of everything.
+        # Values are arbitrary bytes; a value that is not UTF-8 text belongs to
+        # another system and must not fail a read of all keys.
         text=base64.b64decode(item.encoded).decode(errors='replace'),
         mod_revision=item.rev,
         create_revision=item.create_revision,
--- a/packages/ragworthollow/src/ragworthollow/platform/store_snapshot.py
+++ b/packages/ragworthollow/src/ragworthollow/platform/store_snapshot.py
@@ -1,4 +1,4 @@
-"""Define what a read of all keys returns."""
+"""Define the result of a read of all keys."""
 
 from collections.abc import Mapping
 from dataclasses import dataclass
@@ -15,14 +15,14 @@
     Attributes
     ----------
     found : mapping of str to Stored
-        By key.
+        Stored values, by key.
     revision : int
-        Of the store when the first page was read.  Later pages may hold
-        newer keys; changes after this revision have to be followed.
+        Revision of the store when the first page was read.  Later pages may
+        hold newer values; changes after this revision have to be watched.
     size_bytes : int
-        Bytes of the answers that carried it.
+        Total size of the response bodies.
     timeline : int
-        How often the store had been restored.
+        Restore count of the store at the time of the read.
     """
 
     found: Mapping[str, Stored]
@@ -31,5 +31,5 @@
     timeline: int = 0
 
     def get_position(self) -> StorePosition:
-        """Return the position of the state that it holds."""
+        """Return the position of the state that the snapshot holds."""
         return StorePosition(timeline=self.timeline, revision=self.revision)
--- a/packages/ragworthollow/src/ragworthollow/platform/store_transport.py
+++ b/packages/ragworthollow/src/ragworthollow/platform/store_transport.py
@@ -8,7 +8,7 @@
 
 from ragworthollow.logs.events import log_event
 from ragworthollow.platform.exceptions import PlatformError
-from ragworthollow.platform.store_answer import StoreAnswer
+from ragworthollow.platform.store_answer import StoreResponse
 from ragworthollow.transport.timeouts import make_silence_timeout
 from ragworthollow.utils import get_monotonic_ms
 
@@ -20,28 +20,28 @@
 
 class StoreTransport:
     """
-    Call the store with a timeout of our own on every call.
+    Call the store, with a client-side timeout on every call.
 
-    A connection to the store may fall silent for good without a reset; a
-    call that hears nothing for the timeout closes its connection, so that
-    the next call opens a new one.
+    A connection to the store may stop delivering data permanently without a
+    reset; a call that receives nothing within the timeout closes its
+    connection, so that the next call opens a new connection.
 
     Parameters
     ----------
     session : aiohttp.ClientSession
-        Session to call with.
+        HTTP session for the calls.
     base_url : str
-        Address of the store.
+        Base URL of the store.
     timeout_ms : float
-        Longest time without a byte.
+        Maximum time without receiving a byte, in milliseconds.
 
     Attributes
     ----------
     calls : int
-        Calls made.
+        Number of calls made.
     timeline : int
-        How often the store has been restored from a copy, as any of its
-        answers has told, refusals included.
+        Highest restore count of the store that any of its responses has
+        reported, error responses included.
     """
 
     def __init__(
@@ -66,35 +66,35 @@
         body: bytes | None = None,
         absent_status: HTTPStatus | None = None,
         extra_ms: float = 0,
-        longest_bytes: float = UNLIMITED_BYTES,
-    ) -> Result[StoreAnswer, PlatformError]:
+        max_bytes: float = UNLIMITED_BYTES,
+    ) -> Result[StoreResponse, PlatformError]:
         """
         Make one call.
 
         Parameters
         ----------
         method, path : str
-            What is called.
+            HTTP method and path of the request.
         query : dict of str to str, optional
-            Sent behind the path.
+            Query parameters of the request.
         body : bytes, optional
-            JSON to send.
+            JSON body of the request.
         absent_status : HTTPStatus, optional
-            Status that says that there is nothing to return.
+            Status with which the store reports that there is nothing to return.
         extra_ms : float
-            How long the store may wait before it answers.
-        longest_bytes : float
-            Size from which an answer is not worth reading; what is left of
-            it is dropped together with the connection.
+            Milliseconds for which the store may wait before it responds.
+        max_bytes : float
+            Maximum size of a response; the rest of a larger response is
+            discarded together with the connection.
 
         Returns
         -------
         Result
-            The answer, without a body for `absent_status` or where it is too
-            long; or the failure.
+            The response, without a body for `absent_status` or if it is too
+            large; or the failure.
         """
         self.calls += 1
-        received = _Received()
+        received_body = _ResponseBody()
         try:
             async with self._session.request(
                 method,
@@ -103,28 +103,30 @@
                 headers=_HEADERS if body else None,
                 timeout=make_silence_timeout(self._timeout_ms, extra_ms),
             ) as response:
-                timeline = self._note_timeline(response)
-                is_whole = await received.read(response, longest_bytes)
+                timeline = self._record_timeline(response)
+                is_complete = await received_body.read(response, max_bytes)
                 status = response.status
         except aiohttp.ClientConnectorError as error:
             return Err(self._explain(path, repr(error), applied=False))
         except (TimeoutError, aiohttp.ClientError, OSError) as error:
-            detail = f'{error!r}, {received.describe()}'
+            detail = f'{error!r}, {received_body.describe()}'
             return Err(self._explain(path, detail, applied=True))
         if timeline < self.timeline:
-            # What it tells was lost when the store was restored.
-            detail = f'answer from before restoration {self.timeline}'
+            # The state that it reports was lost when the store was restored.
+            detail = f'response predates restoration {self.timeline}'
             return Err(self._explain(path, detail, applied=True))
-        if status == absent_status or not is_whole:
-            return Ok(StoreAnswer(body=None, timeline=timeline))
+        if status == absent_status or not is_complete:
+            return Ok(StoreResponse(body=None, timeline=timeline))
         if status == HTTPStatus.OK:
-            return Ok(StoreAnswer(body=received.join(), timeline=timeline))
-        # Every other status says that the store did nothing.
+            return Ok(
+                StoreResponse(body=received_body.join(), timeline=timeline)
+            )
+        # Every other status means that the store has not applied the request.
         detail = f'status {status}'
         return Err(self._explain(path, detail, applied=False))
 
-    def _note_timeline(self, response: aiohttp.ClientResponse) -> int:
-        """Return the timeline of an answer; the one known where it has none."""
+    def _record_timeline(self, response: aiohttp.ClientResponse) -> int:
+        """Return the timeline of a response, by default the known timeline."""
         text = response.headers.get(_TIMELINE, '').strip()
         if not (text.isascii() and text.isdecimal()):
             return self.timeline
@@ -156,28 +158,28 @@
         )
 
 
-class _Received:
-    """Collect an answer, and know when its last bytes came."""
+class _ResponseBody:
+    """Collect a response body and the time at which its last bytes came."""
 
     def __init__(self) -> None:
-        self._began_ms = get_monotonic_ms()
-        self._last_ms = self._began_ms
+        self._started_ms = get_monotonic_ms()
+        self._last_received_ms = self._started_ms
         self._chunks: list[bytes] = []
         self._size = 0
 
     async def read(
         self,
         response: aiohttp.ClientResponse,
-        longest_bytes: float,
+        max_bytes: float,
     ) -> bool:
-        """Read an answer, and tell whether it was short enough for that."""
-        if (response.content_length or 0) > longest_bytes:
+        """Read a body; return whether it is within the maximum size."""
+        if (response.content_length or 0) > max_bytes:
             return False
         async for chunk in response.content.iter_any():
-            self._last_ms = get_monotonic_ms()
+            self._last_received_ms = get_monotonic_ms()
             self._chunks.append(chunk)
             self._size += len(chunk)
-            if self._size > longest_bytes:
+            if self._size > max_bytes:
                 return False
         return True
 
@@ -186,12 +188,13 @@
 
     def describe(self) -> str:
         """
-        Tell an answer that was still coming from a connection that is silent.
+        Return how much has arrived, and the time since the last bytes.
 
-        Both end in a timeout; only the second is helped by a new connection.
+        A large response that was still arriving and a dead connection both end
+        in a timeout; only the latter is helped by a new connection.
         """
         now_ms = get_monotonic_ms()
         return (
-            f'{self._size} bytes in {now_ms - self._began_ms:.0f} ms, '
-            f'silent for {now_ms - self._last_ms:.0f} ms'
+            f'{self._size} bytes in {now_ms - self._started_ms:.0f} ms, '
+            f'no data for {now_ms - self._last_received_ms:.0f} ms'
         )
--- a/packages/ragworthollow/src/ragworthollow/platform/store_wire.py
+++ b/packages/ragworthollow/src/ragworthollow/platform/store_wire.py
@@ -1,4 +1,4 @@
-"""Define the JSON of the platform's store."""
+"""Define the JSON messages of the platform's store."""
 
 import msgspec
 
@@ -7,10 +7,10 @@
 
 class Item(Message):
     """
-    Hold one key.
+    Hold one key and its value.
 
-    `value` is base64 text; `rev` is the store-wide revision of the last
-    change, and `lease` 0 means that the key does not end by itself.
+    `value` is Base64 text, `rev` the store-wide revision of the last change;
+    with a `lease` of 0 the key does not expire.
     """
 
     key: str = ''
@@ -31,42 +31,42 @@
 
 
 class WatchPage(Message):
-    """Hold changes; the next watch goes on after `as_of`."""
+    """Hold changes; the next watch continues after `as_of`."""
 
     events: tuple[Item, ...] = ()
     as_of: int = 0
 
 
 class ExpectedRevision(Message, omit_defaults=False):
-    """Expect a key's last change; revision 0 means that it is absent."""
+    """Require the revision of a key; 0 means that the key is absent."""
 
     key: str
     rev: int
 
 
 class Write(Message, omit_defaults=False):
-    """Write a key; lease 0 binds it to none."""
+    """Write a key; with a lease of 0 it is bound to no lease."""
 
     key: str
     encoded: str = msgspec.field(name='value')
     lease: int = 0
 
 
-class TransactionCall(Message, omit_defaults=False):
-    """Change keys when every expectation holds."""
+class TransactionRequest(Message, omit_defaults=False):
+    """Change keys if every expected revision matches."""
 
     expect_rev: tuple[ExpectedRevision, ...] = ()
     writes: tuple[Write, ...] = ()
     remove: tuple[str, ...] = ()
 
 
-class LeaseCall(Message, omit_defaults=False):
-    """Ask for a lease."""
+class LeaseRequest(Message, omit_defaults=False):
+    """Request a lease."""
 
     ttl_ms: int
 
 
-class LeaseAnswer(Message):
+class LeaseResponse(Message):
     """Describe a lease."""
 
     lease: int = 0
--- a/packages/ragworthollow/src/ragworthollow/platform/stored.py
+++ b/packages/ragworthollow/src/ragworthollow/platform/stored.py
@@ -1,4 +1,4 @@
-"""Define a key as the service stores it."""
+"""Define the stored state of a key."""
 
 from dataclasses import dataclass
 
@@ -8,18 +8,18 @@
 @dataclass(frozen=True, kw_only=True, slots=True)
 class Stored:
     """
-    Hold one key as stored.
+    Hold the value and the revisions of one key.
 
     Attributes
     ----------
     text : str
-        The value, decoded; empty when the key is absent.
+        The decoded value; empty if the key is absent.
     mod_revision, create_revision : int
-        Revisions of its last change and its creation; 0 when absent.
+        Revisions of its last change and its creation; 0 if it is absent.
     read_revision : int
-        Revision of the whole store at which it was read.
+        Revision of the store at which it was read.
     timeline : int
-        How often the store had been restored when it was read.
+        Restore count of the store when it was read.
     """
 
     text: str = ''
@@ -29,14 +29,14 @@
     timeline: int = 0
 
     def get_position(self) -> StorePosition:
-        """Return the position of its last change, as of when it was read."""
+        """Return the position of its last change at the time of the read."""
         return StorePosition(
             timeline=self.timeline,
             revision=self.mod_revision,
         )
 
     def is_same_write(self, other: 'Stored') -> bool:
-        """Tell whether both are the outcome of the same write."""
+        """Return whether both result from the same write."""
         return (self.mod_revision, self.text) == (
             other.mod_revision,
             other.text,
--- a/packages/ragworthollow/src/ragworthollow/platform/transaction.py
+++ b/packages/ragworthollow/src/ragworthollow/platform/transaction.py
@@ -8,17 +8,17 @@
 @dataclass(frozen=True, kw_only=True, slots=True)
 class Compare:
     """
-    Require a key to be as it was last read.
+    Require a key to be unchanged since it was read.
 
     Attributes
     ----------
     key : str
         The key.
     revision : int
-        What its last change must be; 0 means that the key is absent.
+        Required revision of its last change; 0 if the key must be absent.
     timeline : int
-        How often the store had been restored when it was read: what was read
-        before does not hold any more.
+        Restore count of the store when the key was read: values read before a
+        later restoration are invalid.
     """
 
     key: str
@@ -27,7 +27,7 @@
 
 
 def compare_with(key: str, stored: Stored) -> Compare:
-    """Require a key to be as it was read."""
+    """Make a comparison that requires a key to be as it was read."""
     return Compare(
         key=key,
         revision=stored.mod_revision,
@@ -45,7 +45,7 @@
     key, text : str
         The key and its new value.
     lease : int
-        Lease whose end deletes the key; 0 for none.
+        Lease whose expiry deletes the key; 0 for none.
     """
 
     key: str
