--- a/packages/ragworthollow/src/ragworthollow/conf/checks.py
+++ b/packages/ragworthollow/src/ragworthollow/conf/checks.py
@@ -40,8 +40,8 @@
         return [
             CheckMessage(
                 check_id='settings.E004',
-                text='the role sidecar requires the key sidecar',
-                hint='set its pool and upstream_url',
+                text='role sidecar needs the key sidecar',
+                hint='name its pool and upstream_url',
                 where=f'{where}:sidecar',
             ),
         ]
@@ -61,8 +61,8 @@
     return [
         CheckMessage(
             check_id='settings.E005',
-            text=f'{address!r} is not an HTTP URL',
-            hint='use the form http://IP:PORT',
+            text=f'{address!r} is not an http address',
+            hint='write it as http://IP:PORT',
             where=f'{where}:{key}',
         )
         for key, address in addresses.items()
@@ -78,7 +78,7 @@
             CheckMessage(
                 check_id='settings.E006',
                 text=f'shorter than {_MIN_KEY_LENGTH} characters',
-                hint='use a long random string, identical in every process',
+                hint='use a long random string, the same in every process',
                 where=f'{where}:cluster_key',
             ),
         )
@@ -87,7 +87,7 @@
             CheckMessage(
                 check_id='settings.E007',
                 text=f'{settings.lease_ttl_ms} ms is too short for a lease',
-                hint=f'use at least {_MIN_LEASE_MS}',
+                hint=f'at least {_MIN_LEASE_MS}',
                 where=f'{where}:lease_ttl_ms',
             ),
         )
@@ -101,8 +101,8 @@
         return [
             CheckMessage(
                 check_id='settings.E008',
-                text=f'{listen.port} is not a valid TCP port',
-                hint=f'use a port from 1 to {_MAX_PORT}',
+                text=f'{listen.port} is not a port',
+                hint=f'1 to {_MAX_PORT}',
                 where=port_key,
             ),
         ]
@@ -115,7 +115,7 @@
                 CheckMessage(
                     check_id='settings.E009',
                     text=f'{listen.get_address()}: {error.strerror}',
-                    hint='stop the process on it, or use another address',
+                    hint='end what listens there, or choose another address',
                     where=port_key,
                 ),
             ]
--- a/packages/ragworthollow/src/ragworthollow/conf/loading.py
+++ b/packages/ragworthollow/src/ragworthollow/conf/loading.py
@@ -70,7 +70,7 @@
             CheckMessage(
                 check_id='settings.E003',
                 text=str(error),
-                hint='see docs/ref/settings.md for the keys and their units',
+                hint='see docs/ref/settings.md for the fields and units',
                 where=str(path),
             ),
         )
--- a/packages/ragworthollow/src/ragworthollow/platform/configuration_wire.py
+++ b/packages/ragworthollow/src/ragworthollow/platform/configuration_wire.py
@@ -155,18 +155,15 @@
     return RouteTable(
         version=configuration.version,
         routes=[_to_route(route) for route in configuration.routes],
-        pools={
-            service.name: _to_pool(service)
-            for service in configuration.services
-        },
+        pools={item.name: _to_pool(item) for item in configuration.services},
         holders_by_key={
             key: KeyHolder(
-                organisation=tenant.name,
-                priority=tenant.priority,
-                homes=_to_allowed_regions(tenant.allowed_regions),
+                organisation=item.name,
+                priority=item.priority,
+                homes=_to_allowed_regions(item.allowed_regions),
             )
-            for tenant in tenants
-            for key in tenant.api_keys
+            for item in tenants
+            for key in item.api_keys
         },
         requires_key=configuration.tenants is not None,
         limits=_to_limits(configuration.limits),
--- a/packages/ragworthollow/src/ragworthollow/platform/restored_order.py
+++ b/packages/ragworthollow/src/ragworthollow/platform/restored_order.py
@@ -32,7 +32,7 @@
         return (self.born, self.state == _LEAVING, self.seq)
 
 
-def is_newer_value(key: str, text: str, other_text: str) -> bool:
+def is_newer_value(key: str, text: str, other: str) -> bool:
     """
     Return whether a value is newer than another value of the same key.
 
@@ -42,21 +42,19 @@
     ----------
     key : str
         The key.
-    text, other_text : str
+    text, other : str
         The values to compare.
 
     Returns
     -------
     bool
-        True if `text` is certainly newer than `other_text`.
+        True if `text` is certainly newer than `other`.
     """
     try:
         if key == CONFIGURATION_KEY:
-            return _read_order(text, _Version) > _read_order(
-                other_text, _Version
-            )
+            return _read_order(text, _Version) > _read_order(other, _Version)
         if key.startswith(INSTANCES_PREFIX):
-            return _read_order(text, _Report) > _read_order(other_text, _Report)
+            return _read_order(text, _Report) > _read_order(other, _Report)
     except msgspec.DecodeError:
         # The subscribers of that key log values that cannot be decoded.
         return False
--- a/packages/ragworthollow/src/ragworthollow/platform/store_client.py
+++ b/packages/ragworthollow/src/ragworthollow/platform/store_client.py
@@ -43,18 +43,18 @@
         request = TransactionRequest(
             expect_rev=tuple(
                 ExpectedRevision(
-                    key=f'{self._prefix}{compare.key}',
-                    rev=compare.revision,
+                    key=f'{self._prefix}{item.key}',
+                    rev=item.revision,
                 )
-                for compare in compares
+                for item in compares
             ),
             writes=tuple(
                 Write(
-                    key=f'{self._prefix}{put.key}',
-                    encoded=base64.b64encode(put.text.encode()).decode(),
-                    lease=put.lease,
+                    key=f'{self._prefix}{item.key}',
+                    encoded=base64.b64encode(item.text.encode()).decode(),
+                    lease=item.lease,
                 )
-                for put in puts
+                for item in puts
             ),
             remove=tuple(f'{self._prefix}{key}' for key in removes),
         )
@@ -64,7 +64,7 @@
             body=msgspec.json.encode(request),
             absent_status=HTTPStatus.PRECONDITION_FAILED,
         )
-        return result.map(lambda response: response.body is not None)
+        return result.map(lambda item: item.body is not None)
 
     def _is_outdated(self, compare: Compare) -> bool:
         """
--- a/packages/ragworthollow/src/ragworthollow/platform/store_reader.py
+++ b/packages/ragworthollow/src/ragworthollow/platform/store_reader.py
@@ -301,7 +301,9 @@
         )
 
     def _to_changes(
-        self, watched: _WatchResult, after_revision: int
+        self,
+        watched: _WatchResult,
+        after_revision: int,
     ) -> StoreChanges:
         page = watched.page
         last_events = {
