--- a/packages/ragworthollow/src/ragworthollow/conf/global_settings.py
+++ b/packages/ragworthollow/src/ragworthollow/conf/global_settings.py
@@ -92,7 +92,7 @@
 DRAIN_QUIET_MS = 300
 DRAIN_LIMIT_MS = 30_000
 
-# Control commands to engines.
+# Orders to engines.
 ORDER_LIMIT_MS = 5_000
 PLACEMENT_INTERVAL_MS = 500
 PLACEMENT_CHECK_MS = 5_000
@@ -189,8 +189,8 @@
 # Safety margin below a caller's timeout for what estimates do not include: one
 # call and the wait for it.
 DEFERRAL_MARGIN_MS = 500
-# Time constant with which the counted starts of deferred requests decay: about
-# as long as a request is deferred.
+# Time constant with which the counts of started and expired deferred requests
+# decay: about as long as a request is deferred.
 DEFERRAL_MEMORY_MS = 5_000
 # Part of its time limit that a request waits for the first configuration.
 CONFIGURATION_WAIT_SHARE = 0.25
@@ -208,8 +208,8 @@
 # waited before; transport takes some milliseconds of a limit, a refusal with
 # its back-off more.
 WAITED_LEAST_MS = 100
-# Window over which a queue's throughput is measured: a few calls of 300 to
-# 400 ms.
+# Time constant with which the measurement of a queue's throughput decays: a few
+# calls of 300 to 400 ms.
 DRAIN_RATE_MEMORY_MS = 1_500
 # Minimum time with a backlog before the measured throughput is used: about two
 # calls.
