--- a/packages/ragworthollow/src/ragworthollow/conf/global_settings.py
+++ b/packages/ragworthollow/src/ragworthollow/conf/global_settings.py
@@ -201,8 +201,8 @@
 # How often the same limit has to occur among these to count as typical of its
 # callers; the delays before a retry vary by hundreds of milliseconds.
 USUAL_LIMIT_REPEATS = 3
-# How far requests with the same limit differ because of their time in
-# transport.
+# Maximum difference between equal limits on arrival; transport takes a part of
+# each.
 LIMIT_TOLERANCE_MS = 10
 # How far below the typical limit a request's limit shows that its caller has
 # waited before; transport takes some milliseconds of a limit, a refusal with
