--- a/packages/ragworthollow/src/ragworthollow/conf/global_settings.py
+++ b/packages/ragworthollow/src/ragworthollow/conf/global_settings.py
@@ -356,6 +356,7 @@
 # value of the store, 1 MB (1.4 MB as sent), takes 2.2 s at 5 Mbit/s, and four
 # times as long beside callers' traffic and another read.
 EXCHANGE_LIMIT_MS = 10_000
+
 # Membership of gateways.
 
 # The record of a terminated gateway costs unanswered pings; a record that
