--- a/packages/ragworthollow/src/ragworthollow/conf/gateway_settings.py
+++ b/packages/ragworthollow/src/ragworthollow/conf/gateway_settings.py
@@ -95,7 +95,7 @@
     quarantine_ms: Annotated[float, Meta(gt=0)] = global_settings.QUARANTINE_MS
 
     def get_region(self, failure_domain: str) -> str:
-        """Return the region of a failure domain; empty for an unknown one."""
+        """Return the region of a failure domain; empty if it is unknown."""
         return (self.regions or {}).get(failure_domain, '')
 
     def get_shortest_bound_ms(self) -> float:
