--- a/packages/ragworthollow/src/ragworthollow/configuration/__init__.py
+++ b/packages/ragworthollow/src/ragworthollow/configuration/__init__.py
@@ -1,4 +1,4 @@
-"""Define, merge, check and follow the operators' configuration."""
+"""Define, merge, check and distribute the operators' configuration."""
 
 from ragworthollow.configuration.deployment import Deployment
 from ragworthollow.configuration.engine_model import EngineModel
--- a/packages/ragworthollow/src/ragworthollow/configuration/change_record.py
+++ b/packages/ragworthollow/src/ragworthollow/configuration/change_record.py
@@ -1,24 +1,25 @@
-"""Define a line of the history of changes."""
+"""Define a record of the change history."""
 
 from ragworthollow.utils.message import Message
 
 
 class ChangeRecord(Message):
     """
-    Record one accepted change.
+    Describe one accepted change.
 
     Attributes
     ----------
     change_id : str
-        Chosen by the operator's tool, so that a lost answer can be settled.
+        Chosen by the operator's tool, so that the outcome can be looked up
+        when the response is lost.
     generation : int
-        Generation that the change made.
+        Generation that the change created.
     operator : str
-        Who made it.
+        Operator who made the change.
     time_ms : int
-        When, in milliseconds since the Unix epoch.
+        Time of the change, in milliseconds since the Unix epoch.
     files : tuple of str
-        Names of the files it wrote or removed.
+        Names of the files that the change wrote or removed.
     """
 
     change_id: str
--- a/packages/ragworthollow/src/ragworthollow/configuration/change_request.py
+++ b/packages/ragworthollow/src/ragworthollow/configuration/change_request.py
@@ -1,4 +1,4 @@
-"""Define a change that an operator asks for."""
+"""Define the request and the response of a configuration change."""
 
 from ragworthollow.checks.check_message import CheckMessage
 from ragworthollow.outcomes import Reason
@@ -7,21 +7,22 @@
 
 class ChangeRequest(Message):
     """
-    Ask for files to be written or removed.
+    Request that files be written or removed.
 
     Attributes
     ----------
     change_id : str
-        Chosen by the tool; asking again with it never applies twice.
+        Idempotency key chosen by the operator's tool: a retry with the same
+        id is never applied twice.
     base : dict
-        Hash of each touched file as the operator last saw it; empty for a
-        file that did not exist.
+        SHA-256 by file name of each affected file, in the version that the
+        operator last read; empty for a file that did not exist.
     puts : dict
-        New texts by file name.
+        New contents by file name.
     removals : tuple of str
-        Names of files to be removed.
+        Names of the files to remove.
     dry_run : bool
-        Check everything and change nothing.
+        Run all checks without applying the change.
     """
 
     change_id: str
@@ -31,28 +32,31 @@
     dry_run: bool = False
 
     def get_names(self) -> tuple[str, ...]:
-        """Return the names of all files it touches, sorted."""
+        """Return the sorted names of all affected files."""
         return tuple(sorted({*self.puts, *self.removals}))
 
 
 class ChangeAnswer(Message):
     """
-    Answer a change.
+    Report the outcome of a change request.
 
     Attributes
     ----------
     accepted : bool
-        Whether it is part of the configuration in force.
+        Whether the change is part of the active configuration.
     generation : int
-        Generation it made, or the one that stands in its way.
+        Generation that the change created, or the current generation when it
+        was not accepted.
     reason : Reason or None
-        Why it was not accepted.
+        Why the change was not accepted.
     detail : str
-        One sentence: for a conflict, who changed what and when.
+        Explanation in one sentence; for a conflict, which operator changed
+        the file in which generation.
     problems : tuple of CheckMessage
-        Findings, warnings included.
+        Findings of the checks, including warnings.
     may_have_applied : bool
-        The platform's answer was lost and could not be read back.
+        The platform's response was lost and the outcome could not be read
+        back.
     """
 
     accepted: bool
--- a/packages/ragworthollow/src/ragworthollow/configuration/change_rules.py
+++ b/packages/ragworthollow/src/ragworthollow/configuration/change_rules.py
@@ -1,4 +1,4 @@
-"""Decide whether a change may be made, and what it makes."""
+"""Validate changes and build the generation that they result in."""
 
 from ragworthollow.checks.report import has_errors
 from ragworthollow.conf import global_settings
@@ -9,28 +9,28 @@
 )
 from ragworthollow.configuration.file_entry import FileEntry
 from ragworthollow.configuration.manifest import Manifest
-from ragworthollow.configuration.merge import Merged
+from ragworthollow.configuration.merge import MergeResult
 from ragworthollow.configuration.snapshot import hash_text
 from ragworthollow.outcomes import Reason
 
 
-def find_settled(
+def find_accepted_change(
     manifest: Manifest,
     request: ChangeRequest,
 ) -> ChangeAnswer | None:
-    """Return the answer to a change that has been accepted before."""
+    """Return the response to a change that was already accepted, if any."""
     for record in manifest.history:
         if record.change_id == request.change_id:
             return ChangeAnswer(accepted=True, generation=record.generation)
     return None
 
 
-def check_rights(
+def check_preconditions(
     operator: str,
     request: ChangeRequest,
     manifest: Manifest,
 ) -> ChangeAnswer | None:
-    """Refuse a change of another owner or of an unseen version."""
+    """Refuse to change files of other owners or outdated versions."""
     entries = {entry.name: entry for entry in manifest.files}
     for name in request.get_names():
         entry = entries.get(name)
@@ -39,11 +39,11 @@
                 accepted=False,
                 generation=manifest.generation,
                 reason=Reason.unauthorized,
-                detail=f'{name} belongs to {entry.owner}',
+                detail=f'{name} is owned by {entry.owner}',
             )
-        seen = request.base.get(name, '')
-        current = entry.sha256 if entry is not None else ''
-        if seen != current:
+        base_hash = request.base.get(name, '')
+        current_hash = entry.sha256 if entry is not None else ''
+        if base_hash != current_hash:
             return ChangeAnswer(
                 accepted=False,
                 generation=manifest.generation,
@@ -60,16 +60,16 @@
                 f'{name} was changed by {record.operator} in generation'
                 f' {record.generation}, change {record.change_id}'
             )
-    return f'{name} is not what you last saw'
+    return f'{name} differs from the version that the change is based on'
 
 
-def check_merged(
+def check_merge_result(
     operator: str,
     request: ChangeRequest,
-    merged: Merged,
+    merged: MergeResult,
     manifest: Manifest,
 ) -> ChangeAnswer | None:
-    """Refuse a change whose result would not be valid."""
+    """Refuse a change whose result has a wrong owner or is not valid."""
     for name in request.puts:
         owner = merged.owners.get(name, operator)
         if owner != operator:
@@ -77,28 +77,31 @@
                 accepted=False,
                 generation=manifest.generation,
                 reason=Reason.unauthorized,
-                detail=f'{name} names {owner} as its owner, you are {operator}',
+                detail=f'{name} declares owner {owner}, but the change was made'
+                f' by {operator}',
             )
     if has_errors(merged.problems):
         return ChangeAnswer(
             accepted=False,
             generation=manifest.generation,
             reason=Reason.invalid_configuration,
-            detail='the merged configuration would not be valid',
+            detail='the merged configuration is not valid',
             problems=merged.problems,
         )
     return None
 
 
-def merge_entries(
+def build_file_entries(
     operator: str,
     request: ChangeRequest,
     manifest: Manifest,
 ) -> list[FileEntry]:
-    """Return the files of the next generation."""
-    touched = request.get_names()
-    kept = [entry for entry in manifest.files if entry.name not in touched]
-    written = [
+    """Return the file entries of the next generation, sorted by name."""
+    changed_names = request.get_names()
+    unchanged = [
+        entry for entry in manifest.files if entry.name not in changed_names
+    ]
+    changed = [
         FileEntry(
             name=name,
             owner=operator,
@@ -107,7 +110,7 @@
         )
         for name, text in request.puts.items()
     ]
-    return sorted([*kept, *written], key=lambda entry: entry.name)
+    return sorted([*unchanged, *changed], key=lambda entry: entry.name)
 
 
 def advance_manifest(
--- a/packages/ragworthollow/src/ragworthollow/configuration/checks.py
+++ b/packages/ragworthollow/src/ragworthollow/configuration/checks.py
@@ -1,12 +1,12 @@
-"""Check a merged configuration as a whole."""
+"""Check the merged configuration for consistency."""
 
 from collections.abc import Callable, Iterator
 
 from ragworthollow.checks.check_message import CheckMessage, Severity
 from ragworthollow.conf import global_settings
 from ragworthollow.configuration.merge import (
-    Merged,
-    Parse,
+    FileParser,
+    MergeResult,
     SourceFile,
     merge_files,
 )
@@ -16,112 +16,118 @@
 _SHA256_LENGTH = 64
 _HEXADECIMAL = frozenset('0123456789abcdef')
 
-Check = Callable[[Merged], Iterator[CheckMessage]]
+Check = Callable[[MergeResult], Iterator[CheckMessage]]
 
 
 def check_files(
     files: list[SourceFile],
-    parse: Parse | None = None,
-) -> Merged:
+    parse: FileParser | None = None,
+) -> MergeResult:
     """
-    Merge files and run every check on the whole.
+    Merge the files and run every check on the result.
 
     Parameters
     ----------
     files : list of SourceFile
-        All files of the folder.
+        All configuration files.
     parse : callable or None
-        Parses one file, perhaps from memory.
+        Parses one file, possibly from a cache; `parse_file` by default.
 
     Returns
     -------
-    Merged
-        The merge, its problems extended by those of the checks.
+    MergeResult
+        Result of the merge, with the findings of the checks added to its
+        problems.
     """
     merged = merge_files(files, parse)
-    found = list(merged.problems)
+    problems = list(merged.problems)
     for check in _CHECKS:
-        found.extend(check(merged))
-    found.extend(_check_sizes(files))
-    return Merged(
+        problems.extend(check(merged))
+    problems.extend(_check_file_sizes(files))
+    return MergeResult(
         deployment=merged.deployment,
         origins=merged.origins,
         owners=merged.owners,
-        problems=tuple(found),
+        problems=tuple(problems),
     )
 
 
-def _check_sizes(files: list[SourceFile]) -> Iterator[CheckMessage]:
+def _check_file_sizes(files: list[SourceFile]) -> Iterator[CheckMessage]:
     for source in files:
         if len(source.text) > global_settings.LARGE_FILE_WARNING_BYTES:
             yield CheckMessage(
                 check_id='config.W001',
-                text=f'{len(source.text)} characters travel to every process'
-                ' with each change of this file',
-                hint='split it, one file for each team or product',
+                text=f'{len(source.text)} characters are sent to every process'
+                ' on each change of this file',
+                hint='split it into one file for each team or product',
                 where=source.name,
                 severity=Severity.warning,
             )
 
 
-def _check_organisations(merged: Merged) -> Iterator[CheckMessage]:
-    seen: dict[str, str] = {}
+def _check_organisations(merged: MergeResult) -> Iterator[CheckMessage]:
+    organisations_by_hash: dict[str, str] = {}
     for name, organisation in merged.deployment.organisations.items():
         where = _locate(merged, f'organisations.{name}')
         for key_hash in organisation.key_sha256:
-            yield from _check_key(key_hash, seen.get(key_hash), where)
-            seen[key_hash] = name
+            yield from _check_key_hash(
+                key_hash, organisations_by_hash.get(key_hash), where
+            )
+            organisations_by_hash[key_hash] = name
         shares = (organisation.guarantee, organisation.ceiling)
         if not all(0 <= share <= 1 for share in shares):
             yield CheckMessage(
                 check_id='config.E007',
-                text='guarantee and ceiling are shares from 0 to 1',
+                text='guarantee and ceiling must be between 0 and 1',
                 hint='write 0.2 for a fifth of every pool',
                 where=where,
             )
         if min(organisation.weight, organisation.worth) <= 0:
             yield CheckMessage(
                 check_id='config.E011',
-                text='weight and worth must be above 0',
+                text='weight and worth must be greater than 0',
                 hint='leave the field out for the default of 1',
                 where=where,
             )
 
 
-def _check_key(
+def _check_key_hash(
     key_hash: str,
-    other: str | None,
+    other_organisation: str | None,
     where: str,
 ) -> Iterator[CheckMessage]:
     if len(key_hash) != _SHA256_LENGTH or set(key_hash) - _HEXADECIMAL:
         yield CheckMessage(
             check_id='config.E005',
-            text='key_sha256 holds something else than a SHA-256',
-            hint='run "ragworthctl hash-key" on the key',
+            text='key_sha256 contains a value that is not a SHA-256 hash',
+            hint='get the hash with "ragworthctl hash-key"',
             where=where,
         )
-    elif other is not None:
+    elif other_organisation is not None:
         yield CheckMessage(
             check_id='config.E006',
-            text=f'its key is also the key of {other}',
-            hint='every organisation needs a key of its own',
+            text='the same key is also declared for organisation'
+            f' {other_organisation}',
+            hint='give every organisation its own key',
             where=where,
         )
 
 
-def _check_guarantees(merged: Merged) -> Iterator[CheckMessage]:
+def _check_guarantees(merged: MergeResult) -> Iterator[CheckMessage]:
     organisations = merged.deployment.organisations
-    total = sum(one.guarantee for one in organisations.values())
+    total = sum(
+        organisation.guarantee for organisation in organisations.values()
+    )
     if total > 1 + 1e-9:
         yield CheckMessage(
             check_id='config.E008',
-            text=f'the guarantees add up to {total:.3f} of every pool',
-            hint='lower some until the sum is at most 1',
+            text=f'the sum of all guarantees is {total:.3f} of every pool',
+            hint='lower guarantees until the sum is at most 1',
             where='organisations',
         )
 
 
-def _check_pipelines(merged: Merged) -> Iterator[CheckMessage]:
+def _check_pipelines(merged: MergeResult) -> Iterator[CheckMessage]:
     for name, pipeline in merged.deployment.pipelines.items():
         where = _locate(merged, f'pipelines.{name}')
         for organisation in pipeline.organisations:
@@ -129,21 +135,23 @@
                 yield CheckMessage(
                     check_id='config.E009',
                     text=f'organisation {organisation} is not declared',
-                    hint='declare it under organisations, or remove it',
+                    hint='declare it under organisations, or remove it here',
                     where=where,
                 )
-        yield from _check_limits(pipeline, where)
-        yield from _check_order(pipeline, where)
+        yield from _check_pipeline_limits(pipeline, where)
+        yield from _check_stage_order(pipeline, where)
         for stage in pipeline.stages:
             yield from _check_stage(merged, stage, where)
 
 
-def _check_limits(pipeline: Pipeline, where: str) -> Iterator[CheckMessage]:
+def _check_pipeline_limits(
+    pipeline: Pipeline, where: str
+) -> Iterator[CheckMessage]:
     names = [stage.name for stage in pipeline.stages]
     if not names or len(set(names)) != len(names):
         yield CheckMessage(
             check_id='config.E010',
-            text='a pipeline needs stages, each of a name of its own',
+            text='a pipeline needs at least one stage, with unique names',
             where=where,
         )
     if not 0 < pipeline.deadline_ms <= global_settings.MAX_DEADLINE_MS:
@@ -157,35 +165,38 @@
         yield CheckMessage(
             check_id='config.E015',
             text='a pipeline has at most one stage that is not repeatable',
-            hint='one idempotency key guards one effect: split the pipeline',
+            hint='an idempotency key protects a single effect: split the'
+            ' pipeline',
             where=where,
         )
 
 
-def _check_order(pipeline: Pipeline, where: str) -> Iterator[CheckMessage]:
+def _check_stage_order(
+    pipeline: Pipeline, where: str
+) -> Iterator[CheckMessage]:
     if any(not stage.repeatable for stage in pipeline.stages[:-1]):
         yield CheckMessage(
             check_id='config.E019',
             text='a stage that is not repeatable must be the last one',
-            hint='its record holds the whole answer for a repeat: move the'
-            ' stages behind it before it, or into a pipeline of their own',
+            hint='its record stores the full response for a retry: move the'
+            ' later stages before it, or into a separate pipeline',
             where=where,
         )
 
 
 def _check_stage(
-    merged: Merged,
+    merged: MergeResult,
     stage: Stage,
     where: str,
 ) -> Iterator[CheckMessage]:
-    place = f'{where}.{stage.name}'
+    stage_path = f'{where}.{stage.name}'
     pool = merged.deployment.pools.get(stage.pool)
     if pool is None:
         yield CheckMessage(
             check_id='config.E013',
             text=f'pool {stage.pool} is not declared',
             hint='declare it under pools',
-            where=place,
+            where=stage_path,
         )
     if stage.kind is not StageKind.generate:
         return
@@ -196,18 +207,18 @@
             text=f'model {stage.model!r} with adapter {stage.adapter!r}'
             ' is not declared',
             hint='declare the model and its adapters under models',
-            where=place,
+            where=stage_path,
         )
     elif pool is not None and stage.model not in pool.models:
         yield CheckMessage(
             check_id='config.E016',
-            text=f'pool {stage.pool} does not carry model {stage.model}',
+            text=f'pool {stage.pool} does not serve model {stage.model}',
             hint='add the model to the models of the pool',
-            where=place,
+            where=stage_path,
         )
 
 
-def _check_pools(merged: Merged) -> Iterator[CheckMessage]:
+def _check_pools(merged: MergeResult) -> Iterator[CheckMessage]:
     for name, pool in merged.deployment.pools.items():
         where = _locate(merged, f'pools.{name}')
         if pool.concurrency < 1 or pool.queue_limit < 1:
@@ -226,7 +237,7 @@
                 )
 
 
-def _locate(merged: Merged, path: str) -> str:
+def _locate(merged: MergeResult, path: str) -> str:
     return f'{merged.origins.get(path, "")}:{path}'
 
 
--- a/packages/ragworthollow/src/ragworthollow/configuration/deployment.py
+++ b/packages/ragworthollow/src/ragworthollow/configuration/deployment.py
@@ -9,17 +9,17 @@
 
 class Deployment(StrictMessage):
     """
-    Hold everything that operators declare.
+    Hold the declarations of the operators.
 
-    One configuration file holds a part of it, the merge of all files the
-    whole.
+    Each configuration file holds a part of them; merging all files gives the
+    full deployment.
 
     Attributes
     ----------
     owner : str
-        Operator who owns the file; empty in the merged whole.
+        Operator who owns the file; empty in the merged deployment.
     allow_override : tuple of str
-        Dotted paths that later files of other owners may set.
+        Dotted paths that later files of other owners may override.
     organisations, pipelines, pools, models : dict
         Declarations by name.
     """
@@ -32,7 +32,7 @@
     models: dict[str, EngineModel] = {}
 
     def get_once_pools(self) -> set[str]:
-        """Return the pools that serve a non-repeatable stage."""
+        """Return the pools that serve at least one non-repeatable stage."""
         return {
             stage.pool
             for pipeline in self.pipelines.values()
--- a/packages/ragworthollow/src/ragworthollow/configuration/engine_model.py
+++ b/packages/ragworthollow/src/ragworthollow/configuration/engine_model.py
@@ -5,18 +5,18 @@
 
 class EngineModel(StrictMessage):
     """
-    Describe one model.
+    Describe one model and its adapters.
 
     Attributes
     ----------
     version : str
-        Version to be loaded; a change of it is a rolling model change.
+        Version to load; changing it starts a rolling update of the engines.
     adapters : tuple of str
-        Adapters that may be asked for on it.
+        Names of the adapters that stages may use with it.
     size_bytes : int
         Size in the weight store.
     replicas : int
-        Engines of a pool that carry it; 0 means all.
+        Number of engines of a pool that serve the model; 0 means all.
     """
 
     version: str
--- a/packages/ragworthollow/src/ragworthollow/configuration/exceptions.py
+++ b/packages/ragworthollow/src/ragworthollow/configuration/exceptions.py
@@ -1,4 +1,4 @@
-"""Define why a configuration was not taken."""
+"""Define the error for a configuration that was not accepted."""
 
 from dataclasses import dataclass, field
 
@@ -9,18 +9,18 @@
 @dataclass(frozen=True, kw_only=True, slots=True)
 class ConfigurationError:
     """
-    Say why a snapshot or a change was refused.
+    Explain why a snapshot or a change was refused.
 
     Attributes
     ----------
     reason : Reason
-        Kind of the refusal.
+        Machine-readable reason of the refusal.
     step, peer : str
-        Where it arose.
+        Step and process where the error occurred.
     detail : str
-        One sentence.
+        Explanation in one sentence.
     problems : tuple of CheckMessage
-        Findings of the checks, if these refused it.
+        Findings of the checks, if these caused the refusal.
     """
 
     reason: Reason
--- a/packages/ragworthollow/src/ragworthollow/configuration/file_entry.py
+++ b/packages/ragworthollow/src/ragworthollow/configuration/file_entry.py
@@ -1,22 +1,22 @@
-"""Define one file of the configuration as the manifest lists it."""
+"""Define the manifest entry of a configuration file."""
 
 from ragworthollow.utils.message import Message
 
 
 class FileEntry(Message):
     """
-    List one file.
+    Describe one configuration file.
 
     Attributes
     ----------
     name : str
-        File name; files merge in the order of their names.
+        File name; files are merged in the order of their names.
     owner : str
-        Operator who alone may change it.
+        Only operator who may change the file.
     sha256 : str
-        Hash of its bytes, under which its content is stored.
+        SHA-256 of the content, which is also the storage key.
     generation : int
-        Generation in which it last changed.
+        Generation in which the file last changed.
     """
 
     name: str
--- a/packages/ragworthollow/src/ragworthollow/configuration/follower.py
+++ b/packages/ragworthollow/src/ragworthollow/configuration/follower.py
@@ -1,4 +1,4 @@
-"""Keep a process at the newest configuration."""
+"""Keep the configuration of a process up to date."""
 
 import asyncio
 import itertools
@@ -10,7 +10,7 @@
 
 from ragworthollow.conf import global_settings
 from ragworthollow.configuration.keys import MANIFEST_KEY
-from ragworthollow.configuration.reader import read_newer
+from ragworthollow.configuration.reader import refresh_store
 from ragworthollow.configuration.snapshot import Snapshot
 from ragworthollow.configuration.store import (
     ConfigurationStore,
@@ -22,9 +22,9 @@
 from ragworthollow.platform.store_position import StorePosition
 from ragworthollow.transport.timeouts import make_silence_timeout
 
-_MILLISECONDS = 1000
+_MILLISECONDS_PER_SECOND = 1000
 _NO_CONTENT = 204
-_UNREACHABLE = (
+_PEER_ERRORS = (
     aiohttp.ClientError,
     TimeoutError,
     msgspec.DecodeError,
@@ -34,26 +34,26 @@
 
 class Follower:
     """
-    Learn of new generations.
+    Fetch and apply new generations of the configuration.
 
     Two processes of each failure domain watch the platform, so that the
-    number of waiting watches does not grow with the fleet.  All others hold
-    a waiting request at one of them, and turn to the next one or to any peer
-    when it is silent: a watcher that is frozen delays a change by one
-    timeout.
+    number of open watches does not grow with the fleet.  All other processes
+    keep a long-polling request open at one of these watchers, and switch to
+    the other watcher or to any peer when it does not respond: a hung watcher
+    delays a change by one timeout.
 
     Parameters
     ----------
     key_value : StoreClient
-        The platform's service.
+        Client of the platform's key-value store.
     store : ConfigurationStore
-        What is in force here.
+        Configuration of this process.
     peers : Peers
-        Who else runs.
+        The other processes of the fleet.
     session : aiohttp.ClientSession
-        Authenticated session to peers.
+        Authenticated HTTP session for requests to peers.
     count_event : callable
-        Counts an event by its name.
+        Increments the counter of the named event.
     """
 
     def __init__(
@@ -70,31 +70,32 @@
         self._peers = peers
         self._session = session
         self._count_event = count_event
-        self._turns = itertools.count()
+        self._source_counter = itertools.count()
 
     async def start(self) -> None:
         """
-        Take the newest generation that peers hold, then the platform's.
+        Apply the newest generation of some peers, then of the platform.
 
-        Peers come first: they answer also while the platform is down, and
-        spare it the files.
+        Peers are queried first: they respond even while the platform is
+        down, and they save it from serving the files.
         """
-        asked = [
+        peers = [
             *self._peers.get_own_watchers(),
             *self._peers.sample(global_settings.CONFIGURATION_PEERS_ASKED),
         ]
-        for peer in asked:
+        for peer in peers:
             await self.pull(peer.address, wait_ms=0)
         await self._read_platform()
 
     async def run(self) -> None:
-        """Follow until cancelled."""
+        """Keep the configuration up to date until cancelled."""
         while True:
             if self._peers.is_watcher():
                 await self._watch_platform()
                 await self._pull_from_next(wait_ms=0)
                 await asyncio.sleep(
-                    global_settings.CONFIGURATION_RETRY_MS / _MILLISECONDS,
+                    global_settings.CONFIGURATION_RETRY_MS
+                    / _MILLISECONDS_PER_SECOND,
                 )
             else:
                 await self._pull_from_next(
@@ -103,23 +104,24 @@
 
     async def pull(self, address: str, *, wait_ms: int) -> bool:
         """
-        Ask one peer for something newer.
+        Fetch a newer generation from one peer and apply it.
 
         Parameters
         ----------
         address : str
             `IP:PORT` of the peer.
         wait_ms : int
-            How long the peer may hold the question while it has nothing.
+            How long the peer may hold the request open while it has no newer
+            generation, in milliseconds.
 
         Returns
         -------
         bool
-            Whether the peer answered.
+            Whether the peer responded.
         """
         try:
-            snapshot = await self._ask(address, wait_ms)
-        except _UNREACHABLE as error:
+            snapshot = await self._fetch_snapshot(address, wait_ms)
+        except _PEER_ERRORS as error:
             log_event(
                 'configuration_peer_unreachable',
                 step='configuration',
@@ -128,10 +130,10 @@
             )
             return False
         if snapshot is not None:
-            await self._take(snapshot)
+            await self._apply_snapshot(snapshot)
         return True
 
-    async def _ask(
+    async def _fetch_snapshot(
         self,
         address: str,
         wait_ms: int,
@@ -149,14 +151,14 @@
                 return None
             return msgspec.json.decode(await response.read(), type=Snapshot)
 
-    async def _take(self, snapshot: Snapshot) -> None:
+    async def _apply_snapshot(self, snapshot: Snapshot) -> None:
         applied = self._store.apply(snapshot)
         if isinstance(applied, Ok):
             if applied.ok_value:
-                self._report('peer')
+                self._record_applied('peer')
             return
-        # The peer counts from another base, or sent something invalid: the
-        # platform settles it.
+        # The snapshot is invalid, or lacks files because the peer assumes
+        # another base: read the generation from the platform instead.
         self._count_event('configuration_refused')
         log_event(
             'configuration_refused',
@@ -170,58 +172,60 @@
             *self._peers.get_own_watchers(),
             *self._peers.sample(1),
         ]
-        answered = False
+        has_responded = False
         if sources:
-            source = sources[next(self._turns) % len(sources)]
-            answered = await self.pull(source.address, wait_ms=wait_ms)
-        if not answered:
+            source = sources[next(self._source_counter) % len(sources)]
+            has_responded = await self.pull(source.address, wait_ms=wait_ms)
+        if not has_responded:
             await asyncio.sleep(
-                global_settings.CONFIGURATION_RETRY_MS / _MILLISECONDS,
+                global_settings.CONFIGURATION_RETRY_MS
+                / _MILLISECONDS_PER_SECOND,
             )
 
     async def _read_platform(self) -> StorePosition | None:
-        before = self._store.generation
-        found = await read_newer(self._key_value, self._store)
-        if isinstance(found, Err):
+        previous_generation = self._store.generation
+        manifest_result = await refresh_store(self._key_value, self._store)
+        if isinstance(manifest_result, Err):
             self._count_event('platform_unavailable')
             return None
-        if self._store.generation > before:
-            self._report('platform')
+        if self._store.generation > previous_generation:
+            self._record_applied('platform')
         return StorePosition(
-            timeline=found.ok_value.timeline,
-            revision=found.ok_value.read_revision,
+            timeline=manifest_result.ok_value.timeline,
+            revision=manifest_result.ok_value.read_revision,
         )
 
     async def _watch_platform(self) -> None:
         position = await self._read_platform()
         if position is None:
             return
-        await self._follow_watch(position)
+        await self._process_watch(position)
         self._count_event('watch_ended')
 
-    async def _follow_watch(self, position: StorePosition) -> None:
+    async def _process_watch(self, position: StorePosition) -> None:
         async for stored in self._key_value.follow(
             MANIFEST_KEY,
             after=position,
-            idle_ms=self._get_idle_ms(),
+            idle_ms=self._get_idle_timeout_ms(),
         ):
             if decode_manifest(stored.text).generation > self._store.generation:
                 await self._read_platform()
             if not self._peers.is_watcher():
                 return
 
-    def _get_idle_ms(self) -> float:
+    def _get_idle_timeout_ms(self) -> float:
         """
-        Return how long a watch may be silent before all is looked at anew.
+        Return the idle time in ms after which a watch ends for a full reread.
 
-        A process that is not listed yet watches only until it is: otherwise
-        a fleet that starts at once would all wait at the platform.
+        A process that is not listed yet uses a shorter time, so that it soon
+        checks again whether it is a watcher: otherwise all processes of a
+        fleet that starts at once would keep watches open at the platform.
         """
         if self._peers.is_listed():
             return global_settings.CONFIGURATION_REREAD_MS
         return global_settings.CONFIGURATION_WAIT_MS
 
-    def _report(self, source: str) -> None:
+    def _record_applied(self, source: str) -> None:
         self._count_event('configuration_applied')
         log_event(
             'configuration_applied',
--- a/packages/ragworthollow/src/ragworthollow/configuration/manifest.py
+++ b/packages/ragworthollow/src/ragworthollow/configuration/manifest.py
@@ -1,4 +1,4 @@
-"""Define the manifest, the one record that decides what is in force."""
+"""Define the manifest, the record that selects the active files."""
 
 from ragworthollow.configuration.change_record import ChangeRecord
 from ragworthollow.configuration.file_entry import FileEntry
@@ -7,16 +7,16 @@
 
 class Manifest(Message):
     """
-    Name every file of one generation.
+    List every file of one generation.
 
     Attributes
     ----------
     generation : int
-        Grows by one with each accepted change; 0 is the empty start.
+        Incremented by each accepted change; 0 before the first.
     files : tuple of FileEntry
-        Sorted by name.
+        Entries sorted by file name.
     history : tuple of ChangeRecord
-        Newest first, of bounded length.
+        Most recent changes, newest first; its length is limited.
     """
 
     generation: int = 0
@@ -24,5 +24,5 @@
     history: tuple[ChangeRecord, ...] = ()
 
     def get_hashes(self) -> dict[str, str]:
-        """Return the hash of each file by its name."""
+        """Return the SHA-256 of each file by file name."""
         return {entry.name: entry.sha256 for entry in self.files}
--- a/packages/ragworthollow/src/ragworthollow/configuration/merge.py
+++ b/packages/ragworthollow/src/ragworthollow/configuration/merge.py
@@ -10,7 +10,7 @@
 from ragworthollow.configuration.deployment import Deployment
 from ragworthollow.utils.strict_yaml import load_yaml
 
-Parse = Callable[['SourceFile'], Result[Deployment, CheckMessage]]
+FileParser = Callable[['SourceFile'], Result[Deployment, CheckMessage]]
 
 SECTIONS = ('organisations', 'pipelines', 'pools', 'models')
 
@@ -18,14 +18,14 @@
 @dataclass(frozen=True, kw_only=True, slots=True)
 class SourceFile:
     """
-    Hold one file to be merged.
+    Hold the name and text of one configuration file.
 
     Attributes
     ----------
     name : str
-        File name, which decides the order.
+        File name, which determines the merge order.
     text : str
-        Content as YAML.
+        Content in YAML.
     """
 
     name: str
@@ -33,20 +33,20 @@
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
-class Merged:
+class MergeResult:
     """
-    Hold the outcome of a merge.
+    Hold the result of a merge.
 
     Attributes
     ----------
     deployment : Deployment
-        The merged whole.
+        The merged declarations.
     origins : dict
-        File that each dotted path, such as `pools.lm-pool`, came from.
+        File that declares each dotted path, such as `pools.lm-pool`.
     owners : dict
         Owner of each file, by file name.
     problems : tuple of CheckMessage
-        Findings; the deployment is usable only when none is an error.
+        Findings; the deployment may only be used if none is an error.
     """
 
     deployment: Deployment = Deployment()
@@ -56,7 +56,7 @@
 
 
 class _Merger:
-    """Gather the parts of the files merged so far."""
+    """Accumulate the declarations of parsed files."""
 
     def __init__(self) -> None:
         self.sections: dict[str, dict[str, object]] = {
@@ -68,7 +68,7 @@
         self._overridable: dict[str, frozenset[str]] = {}
 
     def add(self, name: str, part: Deployment) -> None:
-        """Merge one parsed file over those before it."""
+        """Merge the declarations of one file into those of earlier files."""
         self.owners[name] = part.owner
         self._overridable[name] = frozenset(part.allow_override)
         for section in SECTIONS:
@@ -81,9 +81,9 @@
             self.problems.append(
                 CheckMessage(
                     check_id='config.E004',
-                    text=f'{path} is already set by {earlier}, owned by'
+                    text=f'{path} is already declared in {earlier}, owned by'
                     f' {self.owners[earlier]}',
-                    hint=f'ask its owner to list {path} under'
+                    hint=f'ask the owner of {earlier} to list {path} under'
                     ' allow_override, or choose another name',
                     where=name,
                 ),
@@ -101,31 +101,32 @@
 
 def merge_files(
     files: list[SourceFile],
-    parse: Parse | None = None,
-) -> Merged:
+    parse: FileParser | None = None,
+) -> MergeResult:
     """
-    Merge files in name order and report every problem found on the way.
+    Merge files in the order of their names and collect all problems.
 
     Parameters
     ----------
     files : list of SourceFile
-        In any order.
+        Files in any order.
     parse : callable or None
-        Parses one file, perhaps from memory.
+        Parses one file, possibly from a cache; `parse_file` by default.
 
     Returns
     -------
-    Merged
-        The whole, where each declaration came from, and the problems.
+    MergeResult
+        The merged deployment, the origin of each declaration and the
+        problems.
     """
     merger = _Merger()
-    for source in sorted(files, key=lambda each: each.name):
+    for source in sorted(files, key=lambda source_file: source_file.name):
         parsed = (parse or parse_file)(source)
         if isinstance(parsed, Err):
             merger.problems.append(parsed.err_value)
         else:
             merger.add(source.name, parsed.ok_value)
-    return Merged(
+    return MergeResult(
         deployment=msgspec.convert(merger.sections, Deployment),
         origins=merger.origins,
         owners=merger.owners,
@@ -140,12 +141,12 @@
     Parameters
     ----------
     source : SourceFile
-        The file.
+        Name and text of the file.
 
     Returns
     -------
     Result
-        Its part of the deployment, or the first problem found.
+        Declarations of the file, or the first problem found.
     """
     loaded = load_yaml(source.text.encode())
     if isinstance(loaded, Err):
@@ -153,7 +154,7 @@
             CheckMessage(
                 check_id='config.E001',
                 text=loaded.err_value,
-                hint='the file must be one plain YAML mapping in UTF-8',
+                hint='the file must be a single YAML mapping in UTF-8',
                 where=source.name,
             ),
         )
@@ -179,7 +180,7 @@
         return Err(
             CheckMessage(
                 check_id='config.E003',
-                text='the file names no owner',
+                text='the file declares no owner',
                 hint='add a line such as "owner: bluefields"',
                 where=name,
             ),
--- a/packages/ragworthollow/src/ragworthollow/configuration/organisation.py
+++ b/packages/ragworthollow/src/ragworthollow/configuration/organisation.py
@@ -1,24 +1,26 @@
-"""Define an organisation and its share of the fleet."""
+"""Define an organisation and its share of the capacity."""
 
 from ragworthollow.utils.message import StrictMessage
 
 
 class Organisation(StrictMessage):
     """
-    Describe one organisation.
+    Describe one organisation, its keys and its capacity shares.
 
     Attributes
     ----------
     key_sha256 : tuple of str
-        Hashes of the keys its callers present; several while one rotates.
+        SHA-256 of the keys its callers authenticate with; more than one
+        during key rotation.
     guarantee : float
-        Share of every pool, 0 to 1, that is its own whenever it asks.
+        Share of every pool, from 0 to 1, that is available to it on demand.
     weight : float
-        Relative share of what is idle beyond the guarantees.
+        Relative share of the idle capacity beyond the guarantees.
     ceiling : float
-        Share of a pool, 0 to 1, it never exceeds, even when others idle.
+        Share of a pool, from 0 to 1, that it never exceeds, even when other
+        organisations are idle.
     worth : float
-        Weight of one of its requests in the attainment.
+        Weight of each of its requests in the attainment.
     """
 
     key_sha256: tuple[str, ...]
--- a/packages/ragworthollow/src/ragworthollow/configuration/pipeline.py
+++ b/packages/ragworthollow/src/ragworthollow/configuration/pipeline.py
@@ -1,4 +1,4 @@
-"""Define a pipeline."""
+"""Define a pipeline of stages."""
 
 from ragworthollow.configuration.stage import Stage
 from ragworthollow.utils.message import StrictMessage
@@ -6,18 +6,19 @@
 
 class Pipeline(StrictMessage):
     """
-    Describe one pipeline.
+    Describe one pipeline and its access.
 
     Attributes
     ----------
     organisations : tuple of str
-        Who may call it; no other organisation learns that it exists.
+        Organisations that may call it; its existence is hidden from all
+        others.
     stages : tuple of Stage
-        In the order in which they run.
+        Stages in the order in which they run.
     deadline_ms : int
-        Longest deadline a caller may ask for.
+        Longest deadline that a caller may request, in milliseconds.
     worth : float
-        Weight of one request, multiplied by that of its organisation.
+        Weight of one request, multiplied by the worth of its organisation.
     """
 
     organisations: tuple[str, ...]
@@ -26,5 +27,5 @@
     worth: float = 1.0
 
     def has_non_repeatable(self) -> bool:
-        """Tell whether any stage may run at most once."""
+        """Return whether any stage may run at most once."""
         return any(not stage.repeatable for stage in self.stages)
--- a/packages/ragworthollow/src/ragworthollow/configuration/pool.py
+++ b/packages/ragworthollow/src/ragworthollow/configuration/pool.py
@@ -6,22 +6,24 @@
 
 class Pool(StrictMessage):
     """
-    Describe one pool.
+    Describe one pool and its limits.
 
     Attributes
     ----------
     concurrency : int
-        Calls one upstream instance runs side by side.
+        Calls that one upstream instance runs concurrently.
     queue_limit : int
-        Calls that wait at most before one sidecar.
+        Maximum number of calls queued at one sidecar.
     engine : bool
-        Whether the upstreams are model engines that take orders.
+        Whether the upstreams are model engines that accept orders to load
+        and unload models.
     checks_fencing : bool
-        Whether its engines refuse an order with an old fencing number.
+        Whether its engines refuse an order with an outdated fencing token.
     models : tuple of str
-        Models that its engines carry.
+        Models that its engines serve.
     loads_per_minute : int
-        Rate of the weight store, shared by all engines.
+        Model loads per minute that the weight store sustains, shared by all
+        engines.
     """
 
     concurrency: int = global_settings.DEFAULT_CONCURRENCY
--- a/packages/ragworthollow/src/ragworthollow/configuration/publisher.py
+++ b/packages/ragworthollow/src/ragworthollow/configuration/publisher.py
@@ -1,4 +1,4 @@
-"""Accept changes from operators."""
+"""Validate and publish configuration changes of operators."""
 
 import dataclasses
 from collections.abc import Callable
@@ -14,10 +14,10 @@
 )
 from ragworthollow.configuration.change_rules import (
     advance_manifest,
-    check_merged,
-    check_rights,
-    find_settled,
-    merge_entries,
+    build_file_entries,
+    check_merge_result,
+    check_preconditions,
+    find_accepted_change,
 )
 from ragworthollow.configuration.checks import check_files
 from ragworthollow.configuration.keys import MANIFEST_KEY, get_file_key
@@ -37,16 +37,18 @@
 
 class Publisher:
     """
-    Check a change against its owner and the whole, then swap the manifest.
+    Check ownership and the merged result of a change, then publish it.
+
+    A change takes effect by a compare-and-swap of the manifest.
 
     Parameters
     ----------
     key_value : StoreClient
-        The platform's service.
+        Client of the platform's key-value store.
     store : ConfigurationStore
-        Configuration in force here.
+        Active configuration of this process.
     get_wall_ms : callable
-        Unix time in milliseconds, for the history.
+        Returns the Unix time in milliseconds, for the change history.
     """
 
     def __init__(
@@ -66,52 +68,56 @@
         request: ChangeRequest,
     ) -> ChangeAnswer:
         """
-        Apply one change, or say why not.
+        Apply one change, or return why it was not accepted.
 
-        A compare-and-swap that finds another change in between starts over:
-        other files merge, the same file is a conflict.  A lost answer is
-        settled by reading the history back, since the change id is in it if
-        and only if the write took effect.
+        When another change came first, the compare-and-swap fails and the
+        change is retried on top of it: changes to other files merge, a
+        change to the same file is a conflict.  When the response of the
+        platform is lost, the next attempt looks up the change id in the
+        history, which contains it if and only if the write took effect.
 
         Parameters
         ----------
         operator : str
-            Who asks, already authenticated.
+            Authenticated operator who requests the change.
         request : ChangeRequest
-            What is asked.
+            The requested change.
 
         Returns
         -------
         ChangeAnswer
-            Never claims less than what is known.
+            Outcome; `may_have_applied` is set when a write may have taken
+            effect without confirmation.
         """
         may_have_applied = False
         for _ in range(global_settings.CHANGE_ATTEMPTS):
-            tried = await self._try_once(operator, request)
-            if isinstance(tried, ChangeAnswer):
-                return tried
-            may_have_applied |= tried.may_have_applied
+            attempt = await self._attempt_change(operator, request)
+            if isinstance(attempt, ChangeAnswer):
+                return attempt
+            may_have_applied |= attempt.may_have_applied
         return ChangeAnswer(
             accepted=False,
             reason=Reason.platform_unavailable,
-            detail='the platform gave no usable answer; ask again with the'
-            ' same change id, which never applies twice',
+            detail='the platform did not confirm the change; retry with the'
+            ' same change id, which is never applied twice',
             may_have_applied=may_have_applied,
         )
 
-    async def _try_once(
+    async def _attempt_change(
         self,
         operator: str,
         request: ChangeRequest,
     ) -> ChangeAnswer | PlatformError:
-        found = await self._key_value.read(MANIFEST_KEY)
-        if isinstance(found, Err):
-            return dataclasses.replace(found.err_value, may_have_applied=False)
-        manifest = decode_manifest(found.ok_value.text)
-        settled = find_settled(manifest, request)
-        if settled is not None:
-            await self._put_in_force(manifest)
-            return settled
+        stored_manifest = await self._key_value.read(MANIFEST_KEY)
+        if isinstance(stored_manifest, Err):
+            return dataclasses.replace(
+                stored_manifest.err_value, may_have_applied=False
+            )
+        manifest = decode_manifest(stored_manifest.ok_value.text)
+        earlier_response = find_accepted_change(manifest, request)
+        if earlier_response is not None:
+            await self._apply_manifest(manifest)
+            return earlier_response
         prepared = await self._prepare(operator, request, manifest)
         if isinstance(prepared, Err):
             return prepared.err_value
@@ -124,16 +130,16 @@
         return await self._swap(
             prepared.ok_value,
             request,
-            found.ok_value,
+            stored_manifest.ok_value,
         )
 
     async def _swap(
         self,
-        prepared: '_Prepared',
+        prepared: '_PreparedChange',
         request: ChangeRequest,
-        found: Stored,
+        stored_manifest: Stored,
     ) -> ChangeAnswer | PlatformError:
-        written = await self._write(prepared, request, found)
+        written = await self._write(prepared, request, stored_manifest)
         if isinstance(written, Err):
             return written.err_value
         if written.ok_value:
@@ -141,7 +147,7 @@
         return PlatformError(
             step=MANIFEST_KEY,
             peer=MANIFEST_KEY,
-            detail='another change came first',
+            detail='the manifest was changed concurrently',
             may_have_applied=False,
         )
 
@@ -150,21 +156,21 @@
         operator: str,
         request: ChangeRequest,
         manifest: Manifest,
-    ) -> Result['_Prepared', ChangeAnswer]:
-        refused = check_rights(operator, request, manifest)
-        if refused is not None:
-            return Err(refused)
-        read = await read_files(self._key_value, self._store, manifest)
-        if isinstance(read, Err):
+    ) -> Result['_PreparedChange', ChangeAnswer]:
+        refusal = check_preconditions(operator, request, manifest)
+        if refusal is not None:
+            return Err(refusal)
+        snapshot = await read_files(self._key_value, self._store, manifest)
+        if isinstance(snapshot, Err):
             return Err(
                 ChangeAnswer(
                     accepted=False,
                     reason=Reason.platform_unavailable,
-                    detail=read.err_value.detail,
+                    detail=snapshot.err_value.detail,
                 ),
             )
-        texts = {**self._store.texts, **read.ok_value.files_by_sha256}
-        entries = merge_entries(operator, request, manifest)
+        texts = {**self._store.texts, **snapshot.ok_value.files_by_sha256}
+        entries = build_file_entries(operator, request, manifest)
         texts.update(
             {hash_text(text): text for text in request.puts.values()},
         )
@@ -173,11 +179,11 @@
                 SourceFile(name=entry.name, text=texts[entry.sha256])
                 for entry in entries
             ],
-            self._store.memory.parse,
+            self._store.parse_cache.parse,
         )
-        refused = check_merged(operator, request, merged, manifest)
-        if refused is not None:
-            return Err(refused)
+        refusal = check_merge_result(operator, request, merged, manifest)
+        if refusal is not None:
+            return Err(refusal)
         record = ChangeRecord(
             change_id=request.change_id,
             generation=manifest.generation + 1,
@@ -186,7 +192,7 @@
             files=request.get_names(),
         )
         return Ok(
-            _Prepared(
+            _PreparedChange(
                 manifest=advance_manifest(manifest, entries, record),
                 texts=texts,
                 problems=merged.problems,
@@ -195,9 +201,9 @@
 
     async def _write(
         self,
-        prepared: '_Prepared',
+        prepared: '_PreparedChange',
         request: ChangeRequest,
-        found: Stored,
+        stored_manifest: Stored,
     ) -> Result:
         puts = [
             Put(key=get_file_key(hash_text(text)), text=text)
@@ -207,19 +213,19 @@
             Put(key=MANIFEST_KEY, text=encode_manifest(prepared.manifest)),
         )
         return await self._key_value.commit(
-            compares=[compare_with(MANIFEST_KEY, found)],
+            compares=[compare_with(MANIFEST_KEY, stored_manifest)],
             puts=puts,
         )
 
-    def _accept(self, prepared: '_Prepared') -> ChangeAnswer:
-        needed = {entry.sha256 for entry in prepared.manifest.files}
+    def _accept(self, prepared: '_PreparedChange') -> ChangeAnswer:
+        needed_hashes = {entry.sha256 for entry in prepared.manifest.files}
         self._store.apply(
             Snapshot(
                 manifest=prepared.manifest,
                 files_by_sha256={
                     sha256: text
                     for sha256, text in prepared.texts.items()
-                    if sha256 in needed
+                    if sha256 in needed_hashes
                 },
             ),
         )
@@ -229,13 +235,13 @@
             problems=prepared.problems,
         )
 
-    async def _put_in_force(self, manifest: Manifest) -> None:
-        read = await read_files(self._key_value, self._store, manifest)
-        if isinstance(read, Ok):
-            self._store.apply(read.ok_value)
+    async def _apply_manifest(self, manifest: Manifest) -> None:
+        snapshot = await read_files(self._key_value, self._store, manifest)
+        if isinstance(snapshot, Ok):
+            self._store.apply(snapshot.ok_value)
 
 
-class _Prepared(msgspec.Struct, frozen=True, kw_only=True):
+class _PreparedChange(msgspec.Struct, frozen=True, kw_only=True):
     manifest: Manifest
     texts: dict[str, str]
     problems: tuple
--- a/packages/ragworthollow/src/ragworthollow/configuration/reader.py
+++ b/packages/ragworthollow/src/ragworthollow/configuration/reader.py
@@ -1,4 +1,4 @@
-"""Read a generation from the platform."""
+"""Read a configuration generation from the platform."""
 
 from result import Err, Ok, Result
 
@@ -12,35 +12,35 @@
 from ragworthollow.platform import PlatformError, StoreClient, Stored
 
 
-async def read_newer(
+async def refresh_store(
     key_value: StoreClient,
     store: ConfigurationStore,
 ) -> Result[Stored, PlatformError]:
     """
-    Read the manifest and put it in force if it is newer.
+    Read the manifest and apply its generation if it is newer.
 
     Parameters
     ----------
     key_value : StoreClient
-        The platform's service.
+        Client of the platform's key-value store.
     store : ConfigurationStore
-        Where it goes; files it already holds are not read again.
+        Store to update; files that it already holds are not read again.
 
     Returns
     -------
     Result
-        The manifest's key as stored, or the platform's failure.
+        Stored manifest record, or the error of the platform.
     """
-    found = await key_value.read(MANIFEST_KEY)
-    if isinstance(found, Err):
-        return found
-    manifest = decode_manifest(found.ok_value.text)
+    manifest_result = await key_value.read(MANIFEST_KEY)
+    if isinstance(manifest_result, Err):
+        return manifest_result
+    manifest = decode_manifest(manifest_result.ok_value.text)
     if manifest.generation > store.generation:
-        read = await read_files(key_value, store, manifest)
-        if isinstance(read, Err):
-            return read
-        store.apply(read.ok_value)
-    return found
+        snapshot = await read_files(key_value, store, manifest)
+        if isinstance(snapshot, Err):
+            return snapshot
+        store.apply(snapshot.ok_value)
+    return manifest_result
 
 
 async def read_files(
@@ -49,17 +49,17 @@
     manifest: Manifest,
 ) -> Result[Snapshot, PlatformError]:
     """
-    Read the texts of a manifest that are not held here.
+    Read the files of a manifest that the store does not hold.
 
     Returns
     -------
     Result
-        A snapshot that can be applied, or the platform's failure.
+        Snapshot that can be applied, or the error of the platform.
     """
     texts: dict[str, str] = {}
-    for sha256 in store.get_missing(manifest):
-        found = await key_value.read(get_file_key(sha256))
-        if isinstance(found, Err):
-            return found
-        texts[sha256] = found.ok_value.text
+    for sha256 in store.get_missing_hashes(manifest):
+        file_read = await key_value.read(get_file_key(sha256))
+        if isinstance(file_read, Err):
+            return file_read
+        texts[sha256] = file_read.ok_value.text
     return Ok(Snapshot(manifest=manifest, files_by_sha256=texts))
--- a/packages/ragworthollow/src/ragworthollow/configuration/snapshot.py
+++ b/packages/ragworthollow/src/ragworthollow/configuration/snapshot.py
@@ -1,4 +1,4 @@
-"""Define a generation together with the contents of its files."""
+"""Define a snapshot of one generation with its file contents."""
 
 import hashlib
 
@@ -8,14 +8,15 @@
 
 class Snapshot(Message):
     """
-    Carry a whole generation, or the part of it that a peer lacks.
+    Carry a full generation, or the part of it that a peer is missing.
 
     Attributes
     ----------
     manifest : Manifest
-        What is in force.
+        Manifest of the generation.
     files_by_sha256 : dict
-        Texts of files; those that the asker already holds may be left out.
+        File contents by hash; files that the requester already has may be
+        omitted.
     """
 
     manifest: Manifest = Manifest()
@@ -29,11 +30,11 @@
     Parameters
     ----------
     text : str
-        The file, decoded.
+        Decoded content of the file.
 
     Returns
     -------
     str
-        SHA-256 of its UTF-8 bytes in hexadecimal.
+        SHA-256 of the UTF-8 encoded text, in hexadecimal.
     """
     return hashlib.sha256(text.encode()).hexdigest()
--- a/packages/ragworthollow/src/ragworthollow/configuration/stage.py
+++ b/packages/ragworthollow/src/ragworthollow/configuration/stage.py
@@ -6,7 +6,7 @@
 
 
 class StageKind(enum.StrEnum):
-    """Name what a stage asks of its upstream."""
+    """Select the kind of operation that a stage runs on its upstream."""
 
     encode = 'encode'
     retrieve = 'retrieve'
@@ -17,26 +17,27 @@
 
 class Stage(StrictMessage):
     """
-    Describe one stage.
+    Describe one stage of a pipeline.
 
     Attributes
     ----------
     name : str
-        Unique within its pipeline; names the stage's output in the answer.
+        Name, unique within its pipeline; key of the stage's output in the
+        response.
     kind : StageKind
-        What is asked of the upstream.
+        Kind of operation that the upstream runs.
     pool : str
         Name of the pool that serves it.
     repeatable : bool
         Whether it may run more than once for one request.
     operation : str
-        Operation of a plain service.
+        Operation to call, for a stage of kind `plain`.
     model : str
-        Model of a generating stage.
+        Model to use, for a stage of kind `generate`.
     adapter : str
-        Adapter on that model, or empty.
+        Adapter of that model, or empty.
     max_tokens : int
-        Upper bound on what a generating stage writes.
+        Maximum number of tokens that a stage of kind `generate` produces.
     """
 
     name: str
--- a/packages/ragworthollow/src/ragworthollow/configuration/store.py
+++ b/packages/ragworthollow/src/ragworthollow/configuration/store.py
@@ -1,4 +1,4 @@
-"""Hold the configuration in force in this process."""
+"""Hold the active configuration of this process."""
 
 from collections.abc import Callable
 
@@ -12,7 +12,7 @@
 from ragworthollow.configuration.exceptions import ConfigurationError
 from ragworthollow.configuration.manifest import Manifest
 from ragworthollow.configuration.merge import SourceFile
-from ragworthollow.configuration.parse_memory import ParseMemory
+from ragworthollow.configuration.parse_cache import ParseCache
 from ragworthollow.configuration.snapshot import Snapshot, hash_text
 from ragworthollow.outcomes import Reason
 
@@ -21,19 +21,19 @@
 
 class ConfigurationStore:
     """
-    Keep one generation and replace it only by a higher valid one.
+    Hold one generation; only a newer valid generation replaces it.
 
     Parameters
     ----------
     instance : str
-        Name of this process, for errors.
+        Name of this process, used in errors.
     """
 
     def __init__(self, *, instance: str) -> None:
         self._instance = instance
         self.manifest = Manifest()
         self.texts: dict[str, str] = {}
-        self.memory = ParseMemory()
+        self.parse_cache = ParseCache()
         self.deployment = Deployment()
         self.shares: dict[str, Share] = {}
         self._organisations_by_key: dict[str, str] = {}
@@ -41,19 +41,19 @@
 
     @property
     def generation(self) -> int:
-        """Return the generation in force; 0 before the first."""
+        """Return the active generation; 0 before the first."""
         return self.manifest.generation
 
     def listen(self, listener: Listener) -> None:
-        """Call a function after each change."""
+        """Register a function to call after each change."""
         self._listeners.append(listener)
 
     def get_organisation(self, key_sha256: str) -> str | None:
-        """Return the organisation that a hashed key belongs to."""
+        """Return the organisation that owns a hashed key, if any."""
         return self._organisations_by_key.get(key_sha256)
 
-    def get_missing(self, manifest: Manifest) -> list[str]:
-        """Return the hashes of files that are not held here."""
+    def get_missing_hashes(self, manifest: Manifest) -> list[str]:
+        """Return the hashes of the files that are not stored here."""
         return [
             entry.sha256
             for entry in manifest.files
@@ -62,17 +62,17 @@
 
     def get_snapshot(self, have: int) -> Snapshot:
         """
-        Return what a process lacks that holds an earlier generation.
+        Return what a process with an older generation is missing.
 
         Parameters
         ----------
         have : int
-            Its generation; 0 for everything.
+            Generation of that process; 0 for a full snapshot.
 
         Returns
         -------
         Snapshot
-            The manifest and the files changed since.
+            Manifest and the files that changed after that generation.
         """
         return Snapshot(
             manifest=self.manifest,
@@ -85,36 +85,39 @@
 
     def apply(self, snapshot: Snapshot) -> Result[bool, ConfigurationError]:
         """
-        Put a snapshot in force.
+        Replace the active generation by that of a snapshot.
 
         Parameters
         ----------
         snapshot : Snapshot
-            From the platform or a peer.
+            Snapshot received from the platform or a peer.
 
         Returns
         -------
         Result
-            False when it is not newer, an error when it is not valid; in
-            both cases what was in force stays.
+            True when it was applied, False when it is not newer, an error
+            when it is not valid; in the last two cases the active
+            generation stays.
         """
         if snapshot.manifest.generation <= self.generation:
             return Ok(False)
         texts = {**self.texts, **snapshot.files_by_sha256}
-        missing = _find_missing(snapshot.manifest, texts)
-        if missing:
-            return Err(self._explain(f'{missing} is missing or damaged'))
+        invalid_file = _find_invalid_file(snapshot.manifest, texts)
+        if invalid_file:
+            return Err(
+                self._make_error(f'{invalid_file} is missing or damaged'),
+            )
         files = [
             SourceFile(name=entry.name, text=texts[entry.sha256])
             for entry in snapshot.manifest.files
         ]
-        merged = check_files(files, self.memory.parse)
+        merged = check_files(files, self.parse_cache.parse)
         if has_errors(merged.problems):
-            return Err(self._explain(str(merged.problems[0])))
-        kept = {entry.sha256 for entry in snapshot.manifest.files}
+            return Err(self._make_error(str(merged.problems[0])))
+        needed_hashes = {entry.sha256 for entry in snapshot.manifest.files}
         self.manifest = snapshot.manifest
-        self.texts = {key: texts[key] for key in kept}
-        self.memory.keep_only(set(files))
+        self.texts = {key: texts[key] for key in needed_hashes}
+        self.parse_cache.retain_only(set(files))
         self._index(merged.deployment)
         for listener in self._listeners:
             listener()
@@ -129,7 +132,7 @@
             for key in organisation.key_sha256
         }
 
-    def _explain(self, detail: str) -> ConfigurationError:
+    def _make_error(self, detail: str) -> ConfigurationError:
         return ConfigurationError(
             reason=Reason.invalid_configuration,
             step='configuration',
@@ -138,7 +141,7 @@
         )
 
 
-def _find_missing(manifest: Manifest, texts: dict[str, str]) -> str:
+def _find_invalid_file(manifest: Manifest, texts: dict[str, str]) -> str:
     for entry in manifest.files:
         text = texts.get(entry.sha256)
         if text is None or hash_text(text) != entry.sha256:
@@ -147,18 +150,18 @@
 
 
 def encode_manifest(manifest: Manifest) -> str:
-    """Encode the manifest for the platform."""
+    """Encode the manifest for storage on the platform."""
     return msgspec.json.encode(manifest).decode()
 
 
 def decode_manifest(text: str) -> Manifest:
     """
-    Decode the manifest as stored.
+    Decode a stored manifest; an empty text gives an empty manifest.
 
     Raises
     ------
     msgspec.DecodeError
-        The record is damaged.
+        The record is not a valid manifest.
     """
     if not text:
         return Manifest()
