--- a/packages/ragworthollow/src/ragworthollow/checks/__init__.py
+++ b/packages/ragworthollow/src/ragworthollow/checks/__init__.py
@@ -1,4 +1,4 @@
-"""Report problems with stable identifiers, messages and hints."""
+"""Define check messages, with stable identifiers and hints."""
 
 from ragworthollow.checks.check_message import CheckMessage, Severity
 from ragworthollow.checks.report import has_errors, render_messages
--- a/packages/ragworthollow/src/ragworthollow/checks/check_message.py
+++ b/packages/ragworthollow/src/ragworthollow/checks/check_message.py
@@ -1,4 +1,4 @@
-"""Define what a system check reports."""
+"""Define the message that a system check reports."""
 
 import enum
 
@@ -6,7 +6,7 @@
 
 
 class Severity(enum.StrEnum):
-    """Tell whether a finding stops the command."""
+    """Classify findings: errors stop a command, warnings do not."""
 
     error = 'error'
     warning = 'warning'
@@ -14,20 +14,20 @@
 
 class CheckMessage(Message):
     """
-    Report one finding.
+    Describe one finding of a check.
 
     Attributes
     ----------
     check_id : str
         Stable identifier such as `config.E003`.
     text : str
-        What is wrong.
+        Description of the problem.
     hint : str
-        What to do about it.
+        How to fix the problem.
     where : str
-        File and dotted path.
+        File and dotted path of the declaration.
     severity : Severity
-        Errors stop a command, warnings do not.
+        Whether the finding is an error or a warning.
     """
 
     check_id: str
--- a/packages/ragworthollow/src/ragworthollow/checks/report.py
+++ b/packages/ragworthollow/src/ragworthollow/checks/report.py
@@ -6,7 +6,7 @@
 
 
 def has_errors(messages: Iterable[CheckMessage]) -> bool:
-    """Tell whether any finding is an error."""
+    """Return whether any finding is an error."""
     return any(message.severity is Severity.error for message in messages)
 
 
@@ -17,7 +17,7 @@
     Parameters
     ----------
     messages : iterable of CheckMessage
-        What the checks found.
+        Findings of the checks.
 
     Returns
     -------
@@ -29,5 +29,5 @@
 
 def _render(message: CheckMessage) -> str:
     hint = f' HINT: {message.hint}' if message.hint else ''
-    place = f'{message.where}: ' if message.where else ''
-    return f'{place}({message.check_id}) {message.text}{hint}'
+    location = f'{message.where}: ' if message.where else ''
+    return f'{location}({message.check_id}) {message.text}{hint}'
--- a/packages/ragworthollow/src/ragworthollow/engines/__init__.py
+++ b/packages/ragworthollow/src/ragworthollow/engines/__init__.py
@@ -1,4 +1,4 @@
-"""Decide which engine carries which model and order it so."""
+"""Assign models to engines and derive the load and unload orders."""
 
 from ragworthollow.engines.order import Action, EngineOrder, plan_order
 from ragworthollow.engines.placement import get_carriers, get_wanted
--- a/packages/ragworthollow/src/ragworthollow/engines/load_budget.py
+++ b/packages/ragworthollow/src/ragworthollow/engines/load_budget.py
@@ -1,4 +1,4 @@
-"""Keep all loads together within the rate of the weight store."""
+"""Limit the model loads of all sidecars to the weight store's rate."""
 
 import msgspec
 from result import Err, Ok, Result
@@ -13,37 +13,41 @@
 
 class LoadWindow(Message):
     """
-    Count the loads of one window.
+    Count the model loads of one time window.
 
     Attributes
     ----------
     started_ms : int
-        Start of the window, Unix epoch.
+        Start of the window, in milliseconds since the Unix epoch.
     used : int
-        Loads begun since.
+        Loads started in the window.
     """
 
     started_ms: int = 0
     used: int = 0
 
 
-def use_one(window: LoadWindow, limit: int, now_ms: float) -> LoadWindow | None:
+def consume_load(
+    window: LoadWindow,
+    limit: int,
+    now_ms: float,
+) -> LoadWindow | None:
     """
-    Use one load of a window.
+    Consume one load of the budget, in a new window if the last is over.
 
     Parameters
     ----------
     window : LoadWindow
-        As stored.
+        Stored window.
     limit : int
-        Loads allowed within a minute.
+        Maximum number of loads per minute.
     now_ms : float
-        Unix time.
+        Unix time in milliseconds.
 
     Returns
     -------
     LoadWindow or None
-        What to store, or None when nothing is left.
+        Window to store, or None when the budget is exhausted.
     """
     if now_ms - window.started_ms >= _WINDOW_MS:
         return LoadWindow(started_ms=int(now_ms), used=1)
@@ -58,34 +62,36 @@
     now_ms: float,
 ) -> Result[bool, PlatformError]:
     """
-    Take one load out of the budget that all sidecars share.
+    Consume one load of the budget that all sidecars share.
 
     Parameters
     ----------
     key_value : StoreClient
-        The platform's service, which keeps the budget.
+        Client of the platform's key-value store, which holds the budget.
     limit : int
-        Loads allowed within a minute.
+        Maximum number of loads per minute.
     now_ms : float
-        Unix time.
+        Unix time in milliseconds.
 
     Returns
     -------
     Result
-        False when nothing is left or another sidecar was faster; a lost
-        answer counts as used, never as free.
+        True when the load was granted, False when the budget is exhausted or
+        another sidecar updated it first, or the error of the platform.  When
+        the response of the write is lost, the load counts as used, never as
+        free.
     """
-    found = await key_value.read(_KEY)
-    if isinstance(found, Err):
-        return found
-    stored = found.ok_value
+    budget_read = await key_value.read(_KEY)
+    if isinstance(budget_read, Err):
+        return budget_read
+    stored = budget_read.ok_value
     window = LoadWindow()
     if stored.text:
         window = msgspec.json.decode(stored.text, type=LoadWindow)
-    after = use_one(window, limit, now_ms)
-    if after is None:
+    updated = consume_load(window, limit, now_ms)
+    if updated is None:
         return Ok(False)
     return await key_value.commit(
         compares=[compare_with(_KEY, stored)],
-        puts=[Put(key=_KEY, text=msgspec.json.encode(after).decode())],
+        puts=[Put(key=_KEY, text=msgspec.json.encode(updated).decode())],
     )
--- a/packages/ragworthollow/src/ragworthollow/engines/order.py
+++ b/packages/ragworthollow/src/ragworthollow/engines/order.py
@@ -1,4 +1,4 @@
-"""Define orders to engines and choose the next one."""
+"""Define orders to engines and select the next order."""
 
 import enum
 from collections.abc import Mapping
@@ -7,7 +7,7 @@
 
 
 class Action(enum.StrEnum):
-    """Name what an engine is to do."""
+    """Select the operation that an engine performs."""
 
     load = 'load'
     unload = 'unload'
@@ -15,16 +15,17 @@
 
 class EngineOrder(Message):
     """
-    Order one change of an engine.
+    Order an engine to load or unload one model.
 
     Attributes
     ----------
     fence : int
-        Fencing number, which grows with each new holder of the order right.
+        Fencing token, which increases with each new holder of the right to
+        send orders.
     action : Action
-        What to do.
+        Operation to perform.
     model, version : str
-        With what.
+        Model to load or unload.
     """
 
     fence: int
@@ -35,7 +36,7 @@
 
 class EngineModels(Message):
     """
-    Tell what an engine carries.
+    Report the models that an engine has loaded.
 
     Attributes
     ----------
@@ -47,38 +48,41 @@
 
 
 def plan_order(
-    carried: Mapping[str, str],
-    wanted: Mapping[str, str],
+    loaded: Mapping[str, str],
+    assigned: Mapping[str, str],
     fence: int,
 ) -> EngineOrder | None:
     """
-    Choose the next order.
+    Select the next order to send.
 
-    Loads come first, so that a model is never missing while another one is
-    removed; a new version replaces the old one only once it is loaded.
+    Loads come first, so that no assigned model is missing while another
+    model is unloaded; a new version replaces the old version only after it
+    has been loaded.
 
     Parameters
     ----------
-    carried, wanted : mapping
-        Version by model.
+    loaded, assigned : mapping
+        Version by model, of the models that the engine has loaded and of
+        those that it should serve.
     fence : int
-        Fencing number of the one who orders.
+        Fencing token of the process that sends the order.
 
     Returns
     -------
     EngineOrder or None
-        None when the engine carries what it should.
+        Next order, or None when the engine has loaded exactly the assigned
+        models.
     """
-    for model, version in sorted(wanted.items()):
-        if carried.get(model) != version:
+    for model, version in sorted(assigned.items()):
+        if loaded.get(model) != version:
             return EngineOrder(
                 fence=fence,
                 action=Action.load,
                 model=model,
                 version=version,
             )
-    for model, version in sorted(carried.items()):
-        if model not in wanted:
+    for model, version in sorted(loaded.items()):
+        if model not in assigned:
             return EngineOrder(
                 fence=fence,
                 action=Action.unload,
--- a/packages/ragworthollow/src/ragworthollow/engines/placement.py
+++ b/packages/ragworthollow/src/ragworthollow/engines/placement.py
@@ -1,4 +1,4 @@
-"""Place models on the engines of a pool."""
+"""Assign models to the engines of a pool."""
 
 from collections.abc import Iterable
 
@@ -12,16 +12,16 @@
     instances: Iterable[str],
 ) -> list[str]:
     """
-    Return the engines that are to carry a model.
+    Return the engines that should serve a model.
 
-    Every process computes the same from the configuration in force and the
-    instance list, so that no leader is needed; when an engine comes or goes
-    only the models ranked there move.
+    Every process derives the same assignment from the active configuration
+    and the instance list by rendezvous hashing, so that no leader is needed;
+    when an engine joins or leaves, only the models ranked there move.
 
     Parameters
     ----------
     deployment : Deployment
-        Configuration in force.
+        Active configuration.
     model : str
         Name of the model.
     instances : iterable of str
@@ -30,7 +30,8 @@
     Returns
     -------
     list of str
-        As many as the model has replicas, all when that is 0.
+        Engines by descending rank: as many as the model has replicas, or
+        all when that number is 0 or the model is not declared.
     """
     ranked = sorted(
         instances,
@@ -50,30 +51,30 @@
     instances: Iterable[str],
 ) -> dict[str, str]:
     """
-    Return the models that one engine is to carry.
+    Return the models that one engine should serve.
 
     Parameters
     ----------
     deployment : Deployment
-        Configuration in force.
+        Active configuration.
     pool : str
         Pool of the engine.
     instance : str
-        The engine's instance.
+        Instance name of the engine.
     instances : iterable of str
-        All engines of the pool, itself included.
+        Engines of the pool; the engine itself is added if it is missing.
 
     Returns
     -------
     dict
-        Version by model.
+        Version by model; empty when the pool is not declared.
     """
     declared = deployment.pools.get(pool)
-    known = set(instances) | {instance}
+    pool_instances = set(instances) | {instance}
     if declared is None:
         return {}
     return {
         model: deployment.models[model].version
         for model in declared.models
-        if instance in get_carriers(deployment, model, known)
+        if instance in get_carriers(deployment, model, pool_instances)
     }
--- a/packages/ragworthollow/src/ragworthollow/logs/bounded_output.py
+++ b/packages/ragworthollow/src/ragworthollow/logs/bounded_output.py
@@ -1,4 +1,4 @@
-"""Write log lines without ever waiting for whoever reads them."""
+"""Write log lines without blocking on a slow reader."""
 
 import os
 
@@ -11,19 +11,20 @@
 
 class BoundedOutput:
     """
-    Write lines to a descriptor, a bounded number of them a second.
+    Write lines to a file descriptor at a limited rate.
 
-    A reader that is slow or gone would block a process that writes to a full
-    pipe, and every request with it.  So the descriptor does not block: lines
-    that it does not take wait in a bounded buffer, and what is over the rate
-    or the buffer is left out and counted.
+    A full pipe, whose reader is slow or has terminated, would block the
+    writing process and all its requests.  The descriptor is therefore
+    non-blocking: lines that it does not accept stay in a bounded buffer, and
+    lines that exceed the rate or the buffer are dropped and counted.
 
     Parameters
     ----------
     descriptor : int
-        Where to write.
+        File descriptor to write to; it is made non-blocking.
     lines_per_s : float
-        Most lines a second, over a burst of as many.
+        Maximum sustained rate in lines per second, and the largest burst in
+        lines.
     """
 
     def __init__(
@@ -36,47 +37,47 @@
         self._rate = lines_per_s
         self._tokens = lines_per_s
         self._refilled_ms = get_monotonic_ms()
-        self._waiting = b''
-        self._left_out = 0
+        self._buffer = b''
+        self._dropped_lines = 0
         os.set_blocking(descriptor, False)
 
     def admit(self, now_ms: float) -> bool:
-        """Tell whether one more line is within the rate, and count it."""
+        """Return whether the rate allows one more line, and count it."""
         elapsed_ms = now_ms - self._refilled_ms
         self._refilled_ms = now_ms
-        gained = elapsed_ms * self._rate / _MILLISECONDS
-        self._tokens = min(self._rate, self._tokens + gained)
+        added_tokens = elapsed_ms * self._rate / _MILLISECONDS
+        self._tokens = min(self._rate, self._tokens + added_tokens)
         if self._tokens < 1:
-            self._left_out += 1
+            self._dropped_lines += 1
             return False
         self._tokens -= 1
         return True
 
-    def take_left_out(self) -> int:
-        """Return how many lines were left out since the last call."""
-        left_out = self._left_out
-        self._left_out = 0
-        return left_out
+    def pop_dropped_lines(self) -> int:
+        """Return and reset the number of dropped lines."""
+        dropped_lines = self._dropped_lines
+        self._dropped_lines = 0
+        return dropped_lines
 
     def write(self, line: bytes) -> None:
-        """Write one line, or what the descriptor takes of it now."""
-        room = global_settings.LOG_BUFFER_BYTES - len(self._waiting)
-        if len(line) >= room:
-            self._left_out += 1
+        """Buffer one line and flush; drop the line if the buffer is full."""
+        free_bytes = global_settings.LOG_BUFFER_BYTES - len(self._buffer)
+        if len(line) >= free_bytes:
+            self._dropped_lines += 1
         else:
-            self._waiting += line + _LINE_END
+            self._buffer += line + _LINE_END
         self.flush()
 
     def flush(self) -> None:
-        """Write what waits, as far as the descriptor takes it."""
-        if not self._waiting:
+        """Write as much of the buffer as the descriptor accepts."""
+        if not self._buffer:
             return
         try:
-            written = os.write(self._descriptor, self._waiting)
+            written = os.write(self._descriptor, self._buffer)
         except BlockingIOError:
             return
         except OSError:
-            # Nobody will ever read this; there is nowhere left to say so.
-            self._waiting = b''
+            # The reader has terminated, and this error cannot be logged either.
+            self._buffer = b''
             return
-        self._waiting = self._waiting[written:]
+        self._buffer = self._buffer[written:]
--- a/packages/ragworthollow/src/ragworthollow/logs/formatter.py
+++ b/packages/ragworthollow/src/ragworthollow/logs/formatter.py
@@ -9,12 +9,12 @@
 
 class JsonFormatter(std_logging.Formatter):
     """
-    Render one record as one JSON object.
+    Render each record as a JSON object on one line.
 
     Parameters
     ----------
     instance : str
-        Name of this process, written on every line.
+        Name of this process, included in every line.
     """
 
     def __init__(self, *, instance: str) -> None:
@@ -22,7 +22,7 @@
         self._instance = instance
 
     def format(self, record: std_logging.LogRecord) -> str:
-        """Return the JSON line of a record."""
+        """Return the JSON object of a record."""
         line = {
             'time_ms': round(get_wall_ms(), 1),
             'level': record.levelname.lower(),
--- a/packages/ragworthollow/src/ragworthollow/logs/handler.py
+++ b/packages/ragworthollow/src/ragworthollow/logs/handler.py
@@ -1,4 +1,4 @@
-"""Send the log of a process to its standard output."""
+"""Write the log of a process to its standard output."""
 
 import logging as std_logging
 import sys
@@ -9,20 +9,20 @@
 from ragworthollow.logs.formatter import JsonFormatter
 from ragworthollow.utils.clock import get_monotonic_ms
 
-_LEFT_OUT_EVENT = 'log_lines_left_out'
+_DROPPED_LINES_EVENT = 'log_lines_left_out'
 
 
 class BoundedHandler(std_logging.Handler):
     """
-    Write records within a rate, errors always.
+    Write records at a limited rate, but errors always.
 
-    Before the next line that is written, one line says how many were left
-    out.
+    When records were dropped, one line with their number is written before
+    the next record.
 
     Parameters
     ----------
     output : BoundedOutput
-        Where lines go.
+        Output that the lines are written to.
     """
 
     def __init__(self, *, output: BoundedOutput) -> None:
@@ -30,34 +30,34 @@
         self._output = output
 
     def emit(self, record: std_logging.LogRecord) -> None:
-        """Write one record, or count it as left out."""
+        """Write one record, or drop and count it if over the rate."""
         is_error = record.levelno >= std_logging.ERROR
         if not self._output.admit(get_monotonic_ms()) and not is_error:
             return
-        left_out = self._output.take_left_out()
-        if left_out:
-            self._output.write(self._render_left_out(left_out))
+        dropped_lines = self._output.pop_dropped_lines()
+        if dropped_lines:
+            self._output.write(self._render_dropped_lines(dropped_lines))
         self._output.write(self.format(record).encode())
 
     def flush(self) -> None:
-        """Write what waits, as far as the reader takes it."""
+        """Write as much of the buffered output as the descriptor accepts."""
         self._output.flush()
 
-    def _render_left_out(self, lines: int) -> bytes:
-        note = std_logging.makeLogRecord(
+    def _render_dropped_lines(self, lines: int) -> bytes:
+        summary = std_logging.makeLogRecord(
             {
-                'msg': _LEFT_OUT_EVENT,
+                'msg': _DROPPED_LINES_EVENT,
                 'levelno': std_logging.WARNING,
                 'levelname': 'WARNING',
                 'fields': {'step': 'logs', 'lines': lines},
             },
         )
-        return self.format(note).encode()
+        return self.format(summary).encode()
 
 
 def set_up_logging(*, instance: str) -> None:
     """
-    Send the log of this process to standard output as JSON lines.
+    Configure logging of this process to standard output as JSON lines.
 
     Parameters
     ----------
@@ -68,13 +68,13 @@
         output=BoundedOutput(descriptor=sys.stdout.fileno()),
     )
     handler.setFormatter(JsonFormatter(instance=instance))
-    # The library's own handler announces on standard error that flags were
-    # not parsed; this program has none.
+    # The default handler of `absl` warns on standard error that flags were
+    # not parsed; this program defines no `absl` flags.
     absl_logger = logging.get_absl_logger()
     absl_logger.propagate = False
     for logger in (absl_logger, std_logging.getLogger()):
         logger.handlers.clear()
         logger.addHandler(handler)
         logger.setLevel(std_logging.INFO)
-    for noisy in ('aiohttp.access', 'asyncio', 'aiomisc'):
-        std_logging.getLogger(noisy).setLevel(std_logging.WARNING)
+    for name in ('aiohttp.access', 'asyncio', 'aiomisc'):
+        std_logging.getLogger(name).setLevel(std_logging.WARNING)
--- a/packages/ragworthollow/src/ragworthollow/metrics/__init__.py
+++ b/packages/ragworthollow/src/ragworthollow/metrics/__init__.py
@@ -1,4 +1,4 @@
-"""Count and time what happens, in a form that scrapers read."""
+"""Collect counters, gauges and latencies for Prometheus scrapers."""
 
 from ragworthollow.metrics.invariants import InvariantMonitor
 from ragworthollow.metrics.registry import Metrics
--- a/packages/ragworthollow/src/ragworthollow/metrics/invariants.py
+++ b/packages/ragworthollow/src/ragworthollow/metrics/invariants.py
@@ -1,4 +1,4 @@
-"""Assert invariants inside the running program."""
+"""Check invariants at run time."""
 
 from ragworthollow.logs.events import log_error
 from ragworthollow.metrics.registry import Metrics
@@ -6,12 +6,12 @@
 
 class InvariantMonitor:
     """
-    Count and log violations instead of ending the process.
+    Count and log violations instead of terminating the process.
 
     Parameters
     ----------
     metrics : Metrics
-        Where violations are counted.
+        Metrics that count the violations.
     """
 
     def __init__(self, *, metrics: Metrics) -> None:
@@ -33,18 +33,18 @@
         Parameters
         ----------
         holds : bool
-            Whether it holds.
+            Whether the invariant holds.
         invariant : str
-            Its stable name, as in docs/internals/guarantees.md.
+            Stable name of the invariant, as in docs/internals/guarantees.md.
         step, peer : str
-            Where it was checked.
+            Step and peer to which the check belongs.
         detail : str
-            What was seen.
+            Observed state that violates the invariant.
 
         Returns
         -------
         bool
-            `holds`, so that the caller can refuse to go on.
+            Value of `holds`, so that the caller can abort the operation.
         """
         if not holds:
             self.violations += 1
--- a/packages/ragworthollow/src/ragworthollow/metrics/latency.py
+++ b/packages/ragworthollow/src/ragworthollow/metrics/latency.py
@@ -1,4 +1,4 @@
-"""Keep latencies as HDR histograms and expose them as summaries."""
+"""Record latencies in HDR histograms and expose them as summaries."""
 
 from collections.abc import Iterator
 
@@ -8,14 +8,14 @@
 
 from ragworthollow.conf import global_settings
 
-_QUANTILES = (50.0, 95.0, 99.0, 99.9)
+_PERCENTILES = (50.0, 95.0, 99.0, 99.9)
 _MICROSECONDS_PER_MILLISECOND = 1000
 _MICROSECONDS_PER_SECOND = 1_000_000
 _PERCENT = 100
 
 
 class LatencyCollector(Collector):
-    """Hold one histogram for each step, in microseconds."""
+    """Maintain a latency histogram in microseconds for each step."""
 
     def __init__(self) -> None:
         self._histograms: dict[str, HdrHistogram] = {}
@@ -28,9 +28,9 @@
         Parameters
         ----------
         step : str
-            Stage or hop.
+            Name of the stage or hop.
         elapsed_ms : float
-            Milliseconds it took.
+            Latency in milliseconds.
         """
         histogram = self._histograms.get(step)
         if histogram is None:
@@ -46,16 +46,16 @@
         )
         self._sums_us[step] = self._sums_us.get(step, 0) + elapsed_us
 
-    def get_quantile_ms(self, step: str, percent: float) -> float:
-        """Return a quantile in milliseconds; 0 for a step never seen."""
+    def get_percentile_ms(self, step: str, percentile: float) -> float:
+        """Return a percentile in milliseconds; 0 for an unknown step."""
         histogram = self._histograms.get(step)
         if histogram is None:
             return 0
-        found = histogram.get_value_at_percentile(percent)
-        return found / _MICROSECONDS_PER_MILLISECOND
+        latency_us = histogram.get_value_at_percentile(percentile)
+        return latency_us / _MICROSECONDS_PER_MILLISECOND
 
     def collect(self) -> Iterator[SummaryMetricFamily]:
-        """Yield the summary family, in seconds, as scrapers expect."""
+        """Yield the summary family, in seconds by Prometheus convention."""
         family = SummaryMetricFamily(
             'ragworthollow_latency_seconds',
             'Latency by step',
@@ -67,11 +67,11 @@
                 count_value=histogram.get_total_count(),
                 sum_value=self._sums_us[step] / _MICROSECONDS_PER_SECOND,
             )
-            for quantile in _QUANTILES:
-                found = histogram.get_value_at_percentile(quantile)
+            for percentile in _PERCENTILES:
+                latency_us = histogram.get_value_at_percentile(percentile)
                 family.add_sample(
                     'ragworthollow_latency_seconds',
-                    {'step': step, 'quantile': str(quantile / _PERCENT)},
-                    found / _MICROSECONDS_PER_SECOND,
+                    {'step': step, 'quantile': str(percentile / _PERCENT)},
+                    latency_us / _MICROSECONDS_PER_SECOND,
                 )
         yield family
--- a/packages/ragworthollow/src/ragworthollow/metrics/registry.py
+++ b/packages/ragworthollow/src/ragworthollow/metrics/registry.py
@@ -1,4 +1,4 @@
-"""Hold the counters of one process."""
+"""Hold the metrics of one process."""
 
 from prometheus_client import CollectorRegistry, Counter, Gauge
 from prometheus_client.exposition import generate_latest
@@ -8,7 +8,7 @@
 
 
 class Metrics:
-    """Count by outcome, reason and step, without global state."""
+    """Maintain the metrics of one process without global state."""
 
     def __init__(self) -> None:
         self.registry = CollectorRegistry()
@@ -63,11 +63,11 @@
         outcome: Outcome,
         reason: Reason | None = None,
     ) -> None:
-        """Count the final answer to one request."""
+        """Count the final outcome of one request."""
         self._requests.labels(pipeline, outcome, reason or '').inc()
 
     def get_requests(self, reason: Reason) -> int:
-        """Return how many requests have ended for a reason."""
+        """Return the number of requests that ended with a reason."""
         return sum(
             int(sample.value)
             for family in self._requests.collect()
@@ -82,11 +82,11 @@
         outcome: Outcome,
         reason: Reason | None = None,
     ) -> None:
-        """Count the end of one attempt."""
+        """Count the outcome of one attempt."""
         self._attempts.labels(step, outcome, reason or '').inc()
 
     def count_retry(self, step: str, reason: str) -> None:
-        """Count one further attempt."""
+        """Count one retry."""
         self._retries.labels(step, reason).inc()
 
     def count_violation(self, invariant: str) -> None:
@@ -102,11 +102,11 @@
         self._busy_ms.labels(step, outcome).inc(busy_ms)
 
     def set_state(self, name: str, amount: float) -> None:
-        """Set one gauge."""
+        """Set the value of one state gauge."""
         self._gauge.labels(name).set(amount)
 
     def render(self) -> bytes:
-        """Return the exposition in the text format of scrapers."""
+        """Return all metrics in the Prometheus text format."""
         return generate_latest(self.registry)
 
     def _make_counter(self, name: str, help_text: str, *labels: str) -> Counter:
--- a/packages/ragworthollow/src/ragworthollow/utils/__init__.py
+++ b/packages/ragworthollow/src/ragworthollow/utils/__init__.py
@@ -1,4 +1,4 @@
-"""Hold small parts that belong to no subject: clocks, identifiers, YAML."""
+"""Provide general helpers: clocks, hashes, identifiers, messages, YAML."""
 
 from ragworthollow.utils.clock import (
     get_boottime_ms,
--- a/packages/ragworthollow/src/ragworthollow/utils/clock.py
+++ b/packages/ragworthollow/src/ragworthollow/utils/clock.py
@@ -1,4 +1,4 @@
-"""Read the clocks in milliseconds."""
+"""Read the system clocks in milliseconds."""
 
 import time
 from collections.abc import Callable, Iterator
@@ -8,50 +8,51 @@
 _NANOSECONDS_PER_MILLISECOND = 1_000_000
 
 
-def _read_steady_ms() -> float:
+def _read_monotonic_ms() -> float:
     return time.monotonic_ns() / _NANOSECONDS_PER_MILLISECOND
 
 
 def _read_boottime_ms() -> float:
-    ticks = time.clock_gettime_ns(time.CLOCK_BOOTTIME)
-    return ticks / _NANOSECONDS_PER_MILLISECOND
+    elapsed_ns = time.clock_gettime_ns(time.CLOCK_BOOTTIME)
+    return elapsed_ns / _NANOSECONDS_PER_MILLISECOND
 
 
 @dataclass(kw_only=True, slots=True)
 class _Clock:
-    """Hold what the clocks are read from."""
+    """Hold the functions that read the clocks."""
 
     read_ms: Callable[[], float]
     read_boottime_ms: Callable[[], float]
 
 
 _clock = _Clock(
-    read_ms=_read_steady_ms,
+    read_ms=_read_monotonic_ms,
     read_boottime_ms=_read_boottime_ms,
 )
 
 
 def get_monotonic_ms() -> float:
     """
-    Return a clock that never goes back.
+    Return the time of the monotonic clock.
 
     Returns
     -------
     float
-        Milliseconds since an arbitrary start of this machine.
+        Milliseconds since an arbitrary origin, never decreasing on one
+        machine, without time in suspend.
     """
     return _clock.read_ms()
 
 
 def get_boottime_ms() -> float:
     """
-    Return a clock that never goes back and counts suspended time.
+    Return the time of CLOCK_BOOTTIME, which includes time in suspend.
 
     Returns
     -------
     float
-        Milliseconds since an arbitrary start of this machine.  The monotonic
-        clock stands still while the machine is suspended.
+        Milliseconds since an arbitrary origin, never decreasing on one
+        machine.  The monotonic clock stops while the machine is suspended.
     """
     return _clock.read_boottime_ms()
 
@@ -62,29 +63,30 @@
     read_boottime_ms: Callable[[], float] | None = None,
 ) -> Iterator[None]:
     """
-    Read other clocks for a while, for models in virtual time.
+    Replace both clocks within a context, to simulate in virtual time.
 
     Parameters
     ----------
     read_ms : callable
-        Returns milliseconds and never goes back.
+        Returns milliseconds and never decreases.
     read_boottime_ms : callable, optional
-        The same with suspended time; without it nothing is suspended.
+        Returns the same clock including time in suspend; `read_ms` by
+        default, for a machine that is never suspended.
     """
-    earlier_ms = _clock.read_ms
-    earlier_boottime_ms = _clock.read_boottime_ms
+    previous_read_ms = _clock.read_ms
+    previous_read_boottime_ms = _clock.read_boottime_ms
     _clock.read_ms = read_ms
     _clock.read_boottime_ms = read_boottime_ms or read_ms
     try:
         yield
     finally:
-        _clock.read_ms = earlier_ms
-        _clock.read_boottime_ms = earlier_boottime_ms
+        _clock.read_ms = previous_read_ms
+        _clock.read_boottime_ms = previous_read_boottime_ms
 
 
 def get_wall_ms() -> float:
     """
-    Return the time of day.
+    Return the wall-clock time.
 
     Returns
     -------
--- a/packages/ragworthollow/src/ragworthollow/utils/hashing.py
+++ b/packages/ragworthollow/src/ragworthollow/utils/hashing.py
@@ -1,4 +1,4 @@
-"""Hash secrets and rank candidates."""
+"""Hash secrets and rank candidates by rendezvous hashing."""
 
 import hashlib
 
@@ -9,12 +9,12 @@
     """
     Hash a caller's or an operator's key for comparison and storage.
 
-    Keys are long random strings, so that a fast hash without salt is safe.
+    Keys are long random strings, so a fast hash without a salt is safe.
 
     Parameters
     ----------
     secret : str
-        The key in the clear.
+        Key in plain text.
 
     Returns
     -------
@@ -26,18 +26,18 @@
 
 def get_rank(subject: str, candidate: str) -> int:
     """
-    Return the rendezvous rank of a candidate for a subject.
+    Return the rendezvous hashing rank of a candidate for a subject.
 
     Parameters
     ----------
     subject : str
-        What is being placed.
+        Name of the item to place.
     candidate : str
-        Where it may be placed.
+        Name of a possible location.
 
     Returns
     -------
     int
-        64-bit rank; the highest candidate wins.
+        64-bit rank; the candidate of the highest rank is selected.
     """
     return xxhash.xxh64_intdigest(f'{subject}\x00{candidate}'.encode())
--- a/packages/ragworthollow/src/ragworthollow/utils/identifiers.py
+++ b/packages/ragworthollow/src/ragworthollow/utils/identifiers.py
@@ -1,4 +1,4 @@
-"""Make identifiers that carry their time of birth."""
+"""Create identifiers that contain their creation time."""
 
 import uuid
 
@@ -10,29 +10,30 @@
 
 def make_identifier() -> str:
     """
-    Make a UUID of version 7.
+    Create a UUID of version 7.
 
     Returns
     -------
     str
-        The identifier in its canonical text form.
+        Identifier in canonical text form.
     """
     return str(uuid6.uuid7())
 
 
 def get_birth_ms(identifier: str) -> int | None:
     """
-    Read the time of birth out of a UUID of version 7.
+    Extract the creation time from a UUID of version 7.
 
     Parameters
     ----------
     identifier : str
-        Canonical text form, as a caller sent it.
+        Identifier in canonical text form, as received from a caller.
 
     Returns
     -------
     int or None
-        Milliseconds since the Unix epoch; None when it is not such a UUID.
+        Milliseconds since the Unix epoch; None when the identifier is not a
+        canonical UUID of version 7.
     """
     try:
         parsed = uuid.UUID(identifier)
--- a/packages/ragworthollow/src/ragworthollow/utils/message.py
+++ b/packages/ragworthollow/src/ragworthollow/utils/message.py
@@ -1,4 +1,4 @@
-"""Define the frozen data classes that cross a wire or a file."""
+"""Define base classes for serialised messages and settings."""
 
 import msgspec
 
@@ -11,10 +11,11 @@
     gc=False,
 ):
     """
-    Be the base of typed messages between processes.
+    Provide the base of typed messages between processes.
 
-    Unknown fields are ignored, so that versions may differ in a rolling
-    restart.  `msgspec.Struct` is the frozen data class of the codec used.
+    Unknown fields are ignored, so that processes of different versions can
+    communicate during a rolling restart.  `msgspec.Struct` is the frozen
+    data class of the codec.
     """
 
 
@@ -26,7 +27,7 @@
     forbid_unknown_fields=True,
 ):
     """
-    Be the base of settings and configuration written by people.
+    Provide the base of settings and configuration files.
 
-    An unknown field is an error, since it is most often a misspelt one.
+    An unknown field is an error, since it is usually a misspelled field name.
     """
--- a/packages/ragworthollow/src/ragworthollow/utils/strict_yaml.py
+++ b/packages/ragworthollow/src/ragworthollow/utils/strict_yaml.py
@@ -1,4 +1,4 @@
-"""Load YAML that people wrote, refusing what is ambiguous or hostile."""
+"""Load YAML safely, refusing ambiguous or malicious documents."""
 
 from collections.abc import Hashable
 
@@ -9,14 +9,14 @@
 
 
 class _StrictLoader(yaml.CSafeLoader):
-    """Refuse repeated keys, which hide what is in force."""
+    """Refuse duplicate keys, since only one of the values would apply."""
 
     def construct_mapping(
         self,
         node: yaml.MappingNode,
         deep: bool = False,
     ) -> dict[Hashable, object]:
-        """Refuse a key written twice: one of the two would be ignored."""
+        """Construct a mapping, refusing duplicate and non-string keys."""
         seen: set[object] = set()
         for key_node, _ in node.value:
             key = self.construct_object(key_node, deep=True)
@@ -31,7 +31,7 @@
                 raise yaml.constructor.ConstructorError(
                     None,
                     None,
-                    f'key {key!r} is written twice',
+                    f'duplicate key {key!r}',
                     key_node.start_mark,
                 )
             seen.add(key)
@@ -40,25 +40,26 @@
 
 def load_yaml(source: bytes) -> Result[dict[str, object], str]:
     """
-    Parse one YAML document whose top is a mapping.
+    Parse one YAML document whose top level is a mapping.
 
     Parameters
     ----------
     source : bytes
-        The file as read, not yet decoded.
+        Content of the file, not decoded.
 
     Returns
     -------
     Result
-        The mapping, or one line that says what is wrong and where.
+        The mapping, or a description of the problem and its position in one
+        line.
     """
     if len(source) > global_settings.MAX_CONFIGURATION_FILE_BYTES:
         limit = global_settings.MAX_CONFIGURATION_FILE_BYTES
-        return Err(f'{len(source)} bytes is over the limit of {limit}')
+        return Err(f'{len(source)} bytes exceed the limit of {limit} bytes')
     try:
         text = source.decode('utf-8')
     except UnicodeDecodeError as error:
-        return Err(f'not UTF-8 at byte {error.start}')
+        return Err(f'invalid UTF-8 at byte {error.start}')
     return _parse(text)
 
 
@@ -70,18 +71,18 @@
         where = f' at line {mark.line + 1}' if mark else ''
         return Err(f'{error.problem}{where}')
     except (yaml.YAMLError, RecursionError, ValueError) as error:
-        return Err(f'unreadable YAML: {error}'.splitlines()[0])
+        return Err(f'invalid YAML: {error}'.splitlines()[0])
     if document is None:
         return Ok({})
     if not isinstance(document, dict):
-        return Err('the top of the file is not a mapping')
+        return Err('the top level of the file is not a mapping')
     return Ok(document)
 
 
 def _load(text: str) -> object:
     for event in yaml.parse(text, Loader=yaml.CSafeLoader):
         if isinstance(event, yaml.AliasEvent):
-            # Cyclic and nested aliases exhaust memory.
+            # Cyclic or deeply nested aliases can exhaust the memory.
             raise yaml.constructor.ConstructorError(
                 None,
                 None,
