--- a/packages/ragworthollow/src/ragworthollow/configuration/checks.py
+++ b/packages/ragworthollow/src/ragworthollow/configuration/checks.py
@@ -57,9 +57,9 @@
         if len(source.text) > global_settings.LARGE_FILE_WARNING_BYTES:
             yield CheckMessage(
                 check_id='config.W001',
-                text=f'{len(source.text)} characters are sent to every process'
-                ' on each change of this file',
-                hint='split it into one file for each team or product',
+                text=f'{len(source.text)} characters travel to every process'
+                ' with each change of this file',
+                hint='split it, one file for each team or product',
                 where=source.name,
                 severity=Severity.warning,
             )
@@ -78,14 +78,14 @@
         if not all(0 <= share <= 1 for share in shares):
             yield CheckMessage(
                 check_id='config.E007',
-                text='guarantee and ceiling must be between 0 and 1',
+                text='guarantee and ceiling are shares from 0 to 1',
                 hint='write 0.2 for a fifth of every pool',
                 where=where,
             )
         if min(organisation.weight, organisation.worth) <= 0:
             yield CheckMessage(
                 check_id='config.E011',
-                text='weight and worth must be greater than 0',
+                text='weight and worth must be above 0',
                 hint='leave the field out for the default of 1',
                 where=where,
             )
@@ -99,16 +99,15 @@
     if len(key_hash) != _SHA256_LENGTH or set(key_hash) - _HEXADECIMAL:
         yield CheckMessage(
             check_id='config.E005',
-            text='key_sha256 contains a value that is not a SHA-256 hash',
-            hint='get the hash with "ragworthctl hash-key"',
+            text='key_sha256 holds something else than a SHA-256',
+            hint='run "ragworthctl hash-key" on the key',
             where=where,
         )
     elif other_organisation is not None:
         yield CheckMessage(
             check_id='config.E006',
-            text='the same key is also declared for organisation'
-            f' {other_organisation}',
-            hint='give every organisation its own key',
+            text=f'its key is also the key of {other_organisation}',
+            hint='every organisation needs a key of its own',
             where=where,
         )
 
@@ -121,8 +120,8 @@
     if total > 1 + 1e-9:
         yield CheckMessage(
             check_id='config.E008',
-            text=f'the sum of all guarantees is {total:.3f} of every pool',
-            hint='lower guarantees until the sum is at most 1',
+            text=f'the guarantees add up to {total:.3f} of every pool',
+            hint='lower some until the sum is at most 1',
             where='organisations',
         )
 
@@ -135,7 +134,7 @@
                 yield CheckMessage(
                     check_id='config.E009',
                     text=f'organisation {organisation} is not declared',
-                    hint='declare it under organisations, or remove it here',
+                    hint='declare it under organisations, or remove it',
                     where=where,
                 )
         yield from _check_pipeline_limits(pipeline, where)
@@ -151,7 +150,7 @@
     if not names or len(set(names)) != len(names):
         yield CheckMessage(
             check_id='config.E010',
-            text='a pipeline needs at least one stage, with unique names',
+            text='a pipeline needs stages, each of a name of its own',
             where=where,
         )
     if not 0 < pipeline.deadline_ms <= global_settings.MAX_DEADLINE_MS:
@@ -165,8 +164,7 @@
         yield CheckMessage(
             check_id='config.E015',
             text='a pipeline has at most one stage that is not repeatable',
-            hint='an idempotency key protects a single effect: split the'
-            ' pipeline',
+            hint='one idempotency key guards one effect: split the pipeline',
             where=where,
         )
 
@@ -178,8 +176,8 @@
         yield CheckMessage(
             check_id='config.E019',
             text='a stage that is not repeatable must be the last one',
-            hint='its record stores the full response for a retry: move the'
-            ' later stages before it, or into a separate pipeline',
+            hint='its record holds the whole answer for a repeat: move the'
+            ' stages behind it before it, or into a pipeline of their own',
             where=where,
         )
 
@@ -212,7 +210,7 @@
     elif pool is not None and stage.model not in pool.models:
         yield CheckMessage(
             check_id='config.E016',
-            text=f'pool {stage.pool} does not serve model {stage.model}',
+            text=f'pool {stage.pool} does not carry model {stage.model}',
             hint='add the model to the models of the pool',
             where=stage_path,
         )
--- a/packages/ragworthollow/src/ragworthollow/configuration/merge.py
+++ b/packages/ragworthollow/src/ragworthollow/configuration/merge.py
@@ -81,9 +81,9 @@
             self.problems.append(
                 CheckMessage(
                     check_id='config.E004',
-                    text=f'{path} is already declared in {earlier}, owned by'
+                    text=f'{path} is already set by {earlier}, owned by'
                     f' {self.owners[earlier]}',
-                    hint=f'ask the owner of {earlier} to list {path} under'
+                    hint=f'ask its owner to list {path} under'
                     ' allow_override, or choose another name',
                     where=name,
                 ),
@@ -154,7 +154,7 @@
             CheckMessage(
                 check_id='config.E001',
                 text=loaded.err_value,
-                hint='the file must be a single YAML mapping in UTF-8',
+                hint='the file must be one plain YAML mapping in UTF-8',
                 where=source.name,
             ),
         )
@@ -180,7 +180,7 @@
         return Err(
             CheckMessage(
                 check_id='config.E003',
-                text='the file declares no owner',
+                text='the file names no owner',
                 hint='add a line such as "owner: bluefields"',
                 where=name,
             ),
--- a/packages/ragworthollow/src/ragworthollow/configuration/publisher.py
+++ b/packages/ragworthollow/src/ragworthollow/configuration/publisher.py
@@ -98,8 +98,8 @@
         return ChangeAnswer(
             accepted=False,
             reason=Reason.platform_unavailable,
-            detail='the platform did not confirm the change; retry with the'
-            ' same change id, which is never applied twice',
+            detail='the platform gave no usable answer; ask again with the'
+            ' same change id, which never applies twice',
             may_have_applied=may_have_applied,
         )
 
@@ -135,7 +135,7 @@
 
     async def _swap(
         self,
-        prepared: '_PreparedChange',
+        prepared: '_Prepared',
         request: ChangeRequest,
         stored_manifest: Stored,
     ) -> ChangeAnswer | PlatformError:
@@ -156,7 +156,7 @@
         operator: str,
         request: ChangeRequest,
         manifest: Manifest,
-    ) -> Result['_PreparedChange', ChangeAnswer]:
+    ) -> Result['_Prepared', ChangeAnswer]:
         refusal = check_preconditions(operator, request, manifest)
         if refusal is not None:
             return Err(refusal)
@@ -192,7 +192,7 @@
             files=request.get_names(),
         )
         return Ok(
-            _PreparedChange(
+            _Prepared(
                 manifest=advance_manifest(manifest, entries, record),
                 texts=texts,
                 problems=merged.problems,
@@ -201,7 +201,7 @@
 
     async def _write(
         self,
-        prepared: '_PreparedChange',
+        prepared: '_Prepared',
         request: ChangeRequest,
         stored_manifest: Stored,
     ) -> Result:
@@ -217,7 +217,7 @@
             puts=puts,
         )
 
-    def _accept(self, prepared: '_PreparedChange') -> ChangeAnswer:
+    def _accept(self, prepared: '_Prepared') -> ChangeAnswer:
         needed_hashes = {entry.sha256 for entry in prepared.manifest.files}
         self._store.apply(
             Snapshot(
@@ -241,7 +241,7 @@
             self._store.apply(snapshot.ok_value)
 
 
-class _PreparedChange(msgspec.Struct, frozen=True, kw_only=True):
+class _Prepared(msgspec.Struct, frozen=True, kw_only=True):
     manifest: Manifest
     texts: dict[str, str]
     problems: tuple
