--- a/packages/ragworthollow/src/ragworthollow/configuration/store.py
+++ b/packages/ragworthollow/src/ragworthollow/configuration/store.py
@@ -60,13 +60,13 @@
             if entry.sha256 not in self.texts
         ]
 
-    def get_snapshot(self, have: int) -> Snapshot:
+    def get_snapshot(self, known_generation: int) -> Snapshot:
         """
         Return what a process with an older generation is missing.
 
         Parameters
         ----------
-        have : int
+        known_generation : int
             Generation of that process; 0 for a full snapshot.
 
         Returns
@@ -79,7 +79,7 @@
             files_by_sha256={
                 entry.sha256: self.texts[entry.sha256]
                 for entry in self.manifest.files
-                if entry.generation > have
+                if entry.generation > known_generation
             },
         )
 
