--- a/packages/ragworthollow/src/ragworthollow/configuration/change_rules.py
+++ b/packages/ragworthollow/src/ragworthollow/configuration/change_rules.py
@@ -30,7 +30,7 @@
     request: ChangeRequest,
     manifest: Manifest,
 ) -> ChangeAnswer | None:
-    """Refuse to change files of other owners or outdated versions."""
+    """Refuse changes to files of other owners or of outdated versions."""
     entries = {entry.name: entry for entry in manifest.files}
     for name in request.get_names():
         entry = entries.get(name)
