--- a/packages/ragworthollow/src/ragworthollow/configuration/checks.py
+++ b/packages/ragworthollow/src/ragworthollow/configuration/checks.py
@@ -1,12 +1,12 @@
-"""Check a merged configuration as a whole."""
+"""Check the merged configuration for consistency."""
 
 from collections.abc import Callable, Iterator
 
 from ragworthollow.checks.check_message import CheckMessage, Severity
 from ragworthollow.conf import global_settings
 from ragworthollow.configuration.merge import (
-    Merged,
-    Parse,
+    FileParser,
+    MergeResult,
     SourceFile,
     merge_files,
 )
@@ -16,42 +16,43 @@
 _SHA256_LENGTH = 64
 _HEXADECIMAL = frozenset('0123456789abcdef')
 
-Check = Callable[[Merged], Iterator[CheckMessage]]
+Check = Callable[[MergeResult], Iterator[CheckMessage]]
 
 
 def check_files(
     files: list[SourceFile],
-    parse: Parse | None = None,
-) -> Merged:
+    parse: FileParser | None = None,
+) -> MergeResult:
     """
-    Merge files and run every check on the whole.
+    Merge the files and run every check on the result.
 
     Parameters
     ----------
     files : list of SourceFile
-        All files of the folder.
+        All configuration files.
     parse : callable or None
-        Parses one file, perhaps from memory.
+        Parses one file, possibly from a cache; `parse_file` by default.
 
     Returns
     -------
-    Merged
-        The merge, its problems extended by those of the checks.
+    MergeResult
+        Result of the merge, with the findings of the checks added to its
+        problems.
     """
     merged = merge_files(files, parse)
-    found = list(merged.problems)
+    problems = list(merged.problems)
     for check in _CHECKS:
-        found.extend(check(merged))
-    found.extend(_check_sizes(files))
-    return Merged(
+        problems.extend(check(merged))
+    problems.extend(_check_file_sizes(files))
+    return MergeResult(
         deployment=merged.deployment,
         origins=merged.origins,
         owners=merged.owners,
-        problems=tuple(found),
+        problems=tuple(problems),
     )
 
 
-def _check_sizes(files: list[SourceFile]) -> Iterator[CheckMessage]:
+def _check_file_sizes(files: list[SourceFile]) -> Iterator[CheckMessage]:
     for source in files:
         if len(source.text) > global_settings.LARGE_FILE_WARNING_BYTES:
             yield CheckMessage(
@@ -64,13 +65,15 @@
             )
 
 
-def _check_organisations(merged: Merged) -> Iterator[CheckMessage]:
-    seen: dict[str, str] = {}
+def _check_organisations(merged: MergeResult) -> Iterator[CheckMessage]:
+    organisations_by_hash: dict[str, str] = {}
     for name, organisation in merged.deployment.organisations.items():
         where = _locate(merged, f'organisations.{name}')
         for key_hash in organisation.key_sha256:
-            yield from _check_key(key_hash, seen.get(key_hash), where)
-            seen[key_hash] = name
+            yield from _check_key_hash(
+                key_hash, organisations_by_hash.get(key_hash), where
+            )
+            organisations_by_hash[key_hash] = name
         shares = (organisation.guarantee, organisation.ceiling)
         if not all(0 <= share <= 1 for share in shares):
             yield CheckMessage(
@@ -88,9 +91,9 @@
             )
 
 
-def _check_key(
+def _check_key_hash(
     key_hash: str,
-    other: str | None,
+    other_organisation: str | None,
     where: str,
 ) -> Iterator[CheckMessage]:
     if len(key_hash) != _SHA256_LENGTH or set(key_hash) - _HEXADECIMAL:
@@ -100,18 +103,20 @@
             hint='run "ragworthctl hash-key" on the key',
             where=where,
         )
-    elif other is not None:
+    elif other_organisation is not None:
         yield CheckMessage(
             check_id='config.E006',
-            text=f'its key is also the key of {other}',
+            text=f'its key is also the key of {other_organisation}',
             hint='every organisation needs a key of its own',
             where=where,
         )
 
 
-def _check_guarantees(merged: Merged) -> Iterator[CheckMessage]:
+def _check_guarantees(merged: MergeResult) -> Iterator[CheckMessage]:
     organisations = merged.deployment.organisations
-    total = sum(one.guarantee for one in organisations.values())
+    total = sum(
+        organisation.guarantee for organisation in organisations.values()
+    )
     if total > 1 + 1e-9:
         yield CheckMessage(
             check_id='config.E008',
@@ -121,7 +126,7 @@
         )
 
 
-def _check_pipelines(merged: Merged) -> Iterator[CheckMessage]:
+def _check_pipelines(merged: MergeResult) -> Iterator[CheckMessage]:
     for name, pipeline in merged.deployment.pipelines.items():
         where = _locate(merged, f'pipelines.{name}')
         for organisation in pipeline.organisations:
@@ -132,13 +137,15 @@
                     hint='declare it under organisations, or remove it',
                     where=where,
                 )
-        yield from _check_limits(pipeline, where)
-        yield from _check_order(pipeline, where)
+        yield from _check_pipeline_limits(pipeline, where)
+        yield from _check_stage_order(pipeline, where)
         for stage in pipeline.stages:
             yield from _check_stage(merged, stage, where)
 
 
-def _check_limits(pipeline: Pipeline, where: str) -> Iterator[CheckMessage]:
+def _check_pipeline_limits(
+    pipeline: Pipeline, where: str
+) -> Iterator[CheckMessage]:
     names = [stage.name for stage in pipeline.stages]
     if not names or len(set(names)) != len(names):
         yield CheckMessage(
@@ -162,7 +169,9 @@
         )
 
 
-def _check_order(pipeline: Pipeline, where: str) -> Iterator[CheckMessage]:
+def _check_stage_order(
+    pipeline: Pipeline, where: str
+) -> Iterator[CheckMessage]:
     if any(not stage.repeatable for stage in pipeline.stages[:-1]):
         yield CheckMessage(
             check_id='config.E019',
@@ -174,18 +183,18 @@
 
 
 def _check_stage(
-    merged: Merged,
+    merged: MergeResult,
     stage: Stage,
     where: str,
 ) -> Iterator[CheckMessage]:
-    place = f'{where}.{stage.name}'
+    stage_path = f'{where}.{stage.name}'
     pool = merged.deployment.pools.get(stage.pool)
     if pool is None:
         yield CheckMessage(
             check_id='config.E013',
             text=f'pool {stage.pool} is not declared',
             hint='declare it under pools',
-            where=place,
+            where=stage_path,
         )
     if stage.kind is not StageKind.generate:
         return
@@ -196,18 +205,18 @@
             text=f'model {stage.model!r} with adapter {stage.adapter!r}'
             ' is not declared',
             hint='declare the model and its adapters under models',
-            where=place,
+            where=stage_path,
         )
     elif pool is not None and stage.model not in pool.models:
         yield CheckMessage(
             check_id='config.E016',
             text=f'pool {stage.pool} does not carry model {stage.model}',
             hint='add the model to the models of the pool',
-            where=place,
+            where=stage_path,
         )
 
 
-def _check_pools(merged: Merged) -> Iterator[CheckMessage]:
+def _check_pools(merged: MergeResult) -> Iterator[CheckMessage]:
     for name, pool in merged.deployment.pools.items():
         where = _locate(merged, f'pools.{name}')
         if pool.concurrency < 1 or pool.queue_limit < 1:
@@ -226,7 +235,7 @@
                 )
 
 
-def _locate(merged: Merged, path: str) -> str:
+def _locate(merged: MergeResult, path: str) -> str:
     return f'{merged.origins.get(path, "")}:{path}'
 
 
--- a/packages/ragworthollow/src/ragworthollow/configuration/parse_memory.py
+++ b/packages/ragworthollow/src/ragworthollow/configuration/parse_memory.py
@@ -8,44 +8,45 @@
 from ragworthollow.configuration.deployment import Deployment
 from ragworthollow.configuration.merge import SourceFile, parse_file
 
-_Parsed = Result[Deployment, CheckMessage]
+_ParseResult = Result[Deployment, CheckMessage]
 
 
-class ParseMemory:
+class ParseCache:
     """
-    Remember the parts that files were parsed to.
+    Cache the parse result of each file.
 
-    A change touches one file of many; parsing all of them again would hold
-    the loop of every process for most of a second at the design size.
+    A change usually affects one file of many; parsing all files again would
+    block the event loop of every process for most of a second at the
+    largest supported size.
     """
 
     def __init__(self) -> None:
-        self._known: dict[SourceFile, _Parsed] = {}
+        self._results: dict[SourceFile, _ParseResult] = {}
 
-    def parse(self, source: SourceFile) -> _Parsed:
+    def parse(self, source: SourceFile) -> _ParseResult:
         """
-        Parse a file, or take its part from memory.
+        Return the parse result of a file, from the cache if possible.
 
         Parameters
         ----------
         source : SourceFile
-            Name and text.
+            Name and text of the file.
 
         Returns
         -------
         Result
-            Its part of the deployment, or the first problem found.
+            Declarations of the file, or the first problem found.
         """
-        known = self._known.get(source)
-        if known is None:
-            known = parse_file(source)
-            self._known[source] = known
-        return known
-
-    def keep_only(self, files: Collection[SourceFile]) -> None:
-        """Forget all files but these."""
-        self._known = {
-            source: part
-            for source, part in self._known.items()
+        parsed = self._results.get(source)
+        if parsed is None:
+            parsed = parse_file(source)
+            self._results[source] = parsed
+        return parsed
+
+    def retain_only(self, files: Collection[SourceFile]) -> None:
+        """Evict all files except the given ones."""
+        self._results = {
+            source: parsed
+            for source, parsed in self._results.items()
             if source in files
         }
