--- a/packages/ragworthollow-daemon/src/ragworthollow_daemon/entry/__init__.py
+++ b/packages/ragworthollow-daemon/src/ragworthollow_daemon/entry/__init__.py
@@ -1,1 +1,1 @@
-"""Receive callers' requests and see each of them through its stages."""
+"""Receive callers' requests and run their pipeline stages."""
--- a/packages/ragworthollow-daemon/src/ragworthollow_daemon/entry/effect_tracker.py
+++ b/packages/ragworthollow-daemon/src/ragworthollow_daemon/entry/effect_tracker.py
@@ -1,4 +1,4 @@
-"""Keep account of what a request may have done so far."""
+"""Track the possible effects of a request's attempts."""
 
 from ragworthollow.configuration import Stage
 from ragworthollow.outcomes import Outcome
@@ -6,23 +6,23 @@
 
 
 class EffectTracker:
-    """Say truthfully what is known of a request that has no whole answer."""
+    """Determine the outcome of a request that has no complete answer."""
 
     def __init__(self) -> None:
         self._has_run = False
         self._may_have_run = False
         self._effect_is_unknown = False
 
-    def note(self, stage: Stage, answer: StageAnswer) -> None:
+    def record(self, stage: Stage, answer: StageAnswer) -> None:
         """
-        Take in the end of one attempt.
+        Record the result of one attempt.
 
         Parameters
         ----------
         stage : Stage
-            What was tried.
+            Stage that the attempt ran.
         answer : StageAnswer
-            How it ended.
+            Answer that ended the attempt.
         """
         if answer.outcome is Outcome.not_run:
             return
@@ -40,12 +40,12 @@
         Parameters
         ----------
         last : Outcome
-            Outcome of the attempt that ended it.
+            Outcome of the last attempt.
 
         Returns
         -------
         Outcome
-            `not_run` only when no attempt at all has reached an upstream.
+            `not_run` only when no attempt has reached an upstream.
         """
         if self._effect_is_unknown:
             return last if last is not Outcome.not_run else Outcome.unknown
@@ -56,5 +56,5 @@
         return Outcome.unknown if self._may_have_run else last
 
     def is_safe_to_retry(self) -> bool:
-        """Tell whether no non-repeatable stage may have had its effect."""
+        """Return whether no non-repeatable stage may have taken effect."""
         return not self._effect_is_unknown
--- a/packages/ragworthollow-daemon/src/ragworthollow_daemon/entry/event_stream.py
+++ b/packages/ragworthollow-daemon/src/ragworthollow_daemon/entry/event_stream.py
@@ -9,10 +9,10 @@
 
 class EventStream:
     """
-    Send tokens and then the one answer.
+    Send tokens, followed by a single closing answer.
 
-    Nothing is sent before the first token, so that a request refused until
-    then still gets its proper status code.
+    Nothing is sent before the first token, so that a request refused before
+    it still gets the matching HTTP status code.
 
     Parameters
     ----------
@@ -31,7 +31,7 @@
 
     @property
     def is_started(self) -> bool:
-        """Tell whether the status line has been sent."""
+        """Return whether the status line has been sent."""
         return self._response.prepared
 
     async def send_token(self, event: TokenEvent) -> None:
@@ -45,12 +45,12 @@
         Parameters
         ----------
         answer : PipelineAnswer
-            The one answer; a stream without this event is incomplete.
+            The final answer; a stream without this event is incomplete.
 
         Returns
         -------
         StreamResponse
-            For the server.
+            Response for aiohttp to complete.
         """
         name = 'answer' if answer.refusal is None else 'refusal'
         await self._send(name, answer)
--- a/packages/ragworthollow-daemon/src/ragworthollow_daemon/entry/key_settlement.py
+++ b/packages/ragworthollow-daemon/src/ragworthollow_daemon/entry/key_resolver.py
@@ -1,4 +1,4 @@
-"""Settle what became of an idempotency key before anything runs."""
+"""Resolve an idempotency key before any stage runs."""
 
 import msgspec
 
@@ -10,8 +10,8 @@
 from ragworthollow_daemon.entry.messages import PipelineAnswer
 from ragworthollow_daemon.entry.refusals import make_refusal, refuse_request
 
-_UNSURE_RETRY_MS = 1000
-_UNSETTLED = {
+_UNRESOLVED_RETRY_MS = 1000
+_UNRESOLVED_REASONS = {
     LookupState.running: Reason.attempt_timeout,
     LookupState.born_before: Reason.born_before_ownership,
     LookupState.uncertain: Reason.ownership_unsure,
@@ -19,58 +19,60 @@
 }
 
 
-class KeySettlement:
+class KeyResolver:
     """
-    Answer repeats of keys.
+    Answer requests that repeat an idempotency key.
 
     Parameters
     ----------
     instance : str
         Name of this entry.
     keys : KeyRouter
-        Finds owners of keys.
+        Router that queries the owners of keys.
     """
 
     def __init__(self, *, instance: str, keys: KeyRouter) -> None:
-        self._name = instance
+        self._instance = instance
         self._keys = keys
 
-    async def settle(
+    async def resolve(
         self,
         request: AdmittedRequest,
     ) -> PipelineAnswer | None:
         """
-        Answer a repeat, or make sure that the key has never run.
+        Answer a repeated key, or confirm that the key has never run.
 
-        Only after an owner has said so may a later refusal of this request
-        claim that it was not run.
+        A later refusal of this request may report `not_run` only after the
+        owner of the key has confirmed that.
         """
         stage = next(
-            one for one in request.pipeline.stages if not one.repeatable
+            candidate
+            for candidate in request.pipeline.stages
+            if not candidate.repeatable
         )
-        found = await self._keys.look_up(
+        lookup = await self._keys.look_up(
             stage.pool,
             request.once,
             request.get_remaining_ms(),
         )
-        if found.state is LookupState.absent:
+        if lookup.state is LookupState.absent:
             return None
-        if found.record is not None:
-            return self._repeat(request, stage, found.record)
+        if lookup.record is not None:
+            return self._replay(request, stage, lookup.record)
         return refuse_request(
             request,
             Refusal(
                 outcome=Outcome.unknown,
-                reason=_UNSETTLED[found.state],
+                reason=_UNRESOLVED_REASONS[lookup.state],
                 step=stage.name,
                 peer=stage.pool,
                 detail='whether this key has run cannot be told now; ask'
                 ' again with the same key',
-                retry_after_ms=_UNSURE_RETRY_MS,
+                retry_after_ms=_UNRESOLVED_RETRY_MS,
             ),
         )
 
-    def _repeat(
+    def _replay(
         self,
         request: AdmittedRequest,
         stage: Stage,
@@ -80,7 +82,7 @@
             return refuse_request(
                 request,
                 make_refusal(
-                    self._name,
+                    self._instance,
                     stage.name,
                     Reason.key_in_use,
                     'this key belongs to a request with other inputs',
@@ -97,7 +99,7 @@
             request,
             msgspec.structs.replace(
                 make_refusal(
-                    self._name,
+                    self._instance,
                     stage.name,
                     Reason.upstream_error,
                     record.detail,
--- a/packages/ragworthollow-daemon/src/ragworthollow_daemon/entry/key_router.py
+++ b/packages/ragworthollow-daemon/src/ragworthollow_daemon/entry/key_router.py
@@ -1,4 +1,4 @@
-"""Find the owner of a key and ask it."""
+"""Find the sidecar that owns an idempotency key and query it."""
 
 import asyncio
 
@@ -16,7 +16,7 @@
 from ragworthollow_daemon.process_context import ProcessContext, get_timeout
 
 _LOOKUP_ATTEMPTS = 3
-_SAMPLE = 3
+_REFRESH_SAMPLE_SIZE = 3
 _MILLISECONDS = 1000
 _UNCERTAIN = LookupAnswer(state=LookupState.uncertain)
 _FAILURES = (
@@ -29,17 +29,18 @@
 
 class KeyRouter:
     """
-    Learn assignments from the sidecars themselves.
+    Route key lookups by the assignments that sidecars report.
 
-    An entry needs no call to the platform for this: whoever is asked in
-    error says so, and every member knows the newest record or an older one.
+    This needs no call to the platform: a sidecar that does not own the key
+    says so, and every member of a pool knows the newest assignment or an
+    older one.
 
     Parameters
     ----------
     context : ProcessContext
-        Of this process.
+        Context of this process.
     pools : PoolRouter
-        Sidecars of every pool.
+        Router with the sidecars of every pool.
     """
 
     def __init__(self, *, context: ProcessContext, pools: PoolRouter) -> None:
@@ -48,7 +49,7 @@
         self._assignments: dict[str, Assignment] = {}
 
     async def find_owner(self, pool: str, key: str) -> PeerState | None:
-        """Return the sidecar that owns a key, as far as is known."""
+        """Return the sidecar that owns a key by the last known assignment."""
         if pool not in self._assignments:
             await self.refresh(pool)
         known = self._assignments.get(pool, Assignment())
@@ -72,16 +73,16 @@
         wait_ms: float,
     ) -> LookupAnswer:
         """
-        Ask the owner of a key what it knows.
+        Query the owner of a key for its state.
 
         Parameters
         ----------
         pool : str
             Pool of the non-repeatable stage.
         once : OnceKey
-            The key.
+            Key to look up.
         wait_ms : float
-            How long to wait for a call of the key that is running.
+            Longest wait in milliseconds for a running call with this key.
 
         Returns
         -------
@@ -91,31 +92,31 @@
         end_ms = get_monotonic_ms() + wait_ms / 2
         failures = 0
         while failures < _LOOKUP_ATTEMPTS and get_monotonic_ms() < end_ms:
-            answer = await self._ask_owner(pool, once, wait_ms)
+            answer = await self._query_owner(pool, once, wait_ms)
             if answer is None:
                 failures += 1
             elif answer.state is not LookupState.not_owner:
                 return answer
-            # Whoever says that it is not the owner tells of a hand-over,
-            # which takes a moment.
+            # A sidecar that is not the owner indicates a handover in
+            # progress; wait for it to complete.
             await self.refresh(pool)
             await asyncio.sleep(global_settings.KEYED_RETRY_MS / _MILLISECONDS)
         return _UNCERTAIN
 
     async def refresh(self, pool: str) -> None:
-        """Take the newest record that some members of a pool know."""
+        """Fetch the newest assignment known to a sample of the pool."""
         members = self._context.peers.get_pool(pool)
-        size = min(_SAMPLE, len(members))
-        asked = self._context.rng.sample(members, size)
+        size = min(_REFRESH_SAMPLE_SIZE, len(members))
+        sample = self._context.rng.sample(members, size)
         replies = await asyncio.gather(
-            *(self._read_assignment(member.address) for member in asked),
+            *(self._read_assignment(member.address) for member in sample),
         )
         for reply in replies:
             known = self._assignments.get(pool, Assignment())
             if reply is not None and reply.epoch > known.epoch:
                 self._assignments[pool] = reply
 
-    async def _ask_owner(
+    async def _query_owner(
         self,
         pool: str,
         once: OnceKey,
@@ -124,25 +125,25 @@
         owner = await self.find_owner(pool, once.key)
         if owner is None:
             return None
-        # The first question is answered at once, so that an owner that does
-        # not answer is found out early.
-        answer = await self._ask(owner, once, 0)
+        # The first lookup does not wait for a running call, so that an
+        # unresponsive owner is detected early.
+        answer = await self._send_lookup(owner, once, 0)
         if answer and answer.state is LookupState.running:
-            return await self._ask(owner, once, wait_ms) or answer
+            return await self._send_lookup(owner, once, wait_ms) or answer
         return answer
 
-    async def _ask(
+    async def _send_lookup(
         self,
         owner: PeerState,
         once: OnceKey,
         wait_ms: float,
     ) -> LookupAnswer | None:
-        limit_ms = wait_ms + global_settings.ONCE_LOOKUP_TIMEOUT_MS
+        timeout_ms = wait_ms + global_settings.ONCE_LOOKUP_TIMEOUT_MS
         return await self._fetch(
             'POST',
             f'http://{owner.instance.address}/v1/once/lookups'
             f'?wait_ms={wait_ms}',
-            limit_ms,
+            timeout_ms,
             LookupAnswer,
             once,
         )
@@ -159,7 +160,7 @@
         self,
         method: str,
         url: str,
-        limit_ms: float,
+        timeout_ms: float,
         answer_type: type,
         message: Message | None = None,
     ):
@@ -169,7 +170,7 @@
                 method,
                 url,
                 data=body,
-                timeout=get_timeout(limit_ms),
+                timeout=get_timeout(timeout_ms),
                 raise_for_status=True,
             ) as response:
                 return msgspec.json.decode(
--- a/packages/ragworthollow-daemon/src/ragworthollow_daemon/entry/messages.py
+++ b/packages/ragworthollow-daemon/src/ragworthollow_daemon/entry/messages.py
@@ -1,4 +1,4 @@
-"""Define what callers send and receive."""
+"""Define the messages between callers and the entry."""
 
 import msgspec
 
@@ -8,16 +8,16 @@
 
 class PipelineRequest(StrictMessage):
     """
-    Ask for one run of a pipeline.
+    Request one run of a pipeline.
 
     Attributes
     ----------
     deadline_ms : float
-        Time the caller waits at most, a duration.
+        Longest time the caller waits, as a duration in milliseconds.
     inputs : dict
-        Input of each stage, by its name; stages without one get none.
+        Input of each stage by stage name; may omit stages without input.
     stream : bool
-        Whether tokens are sent as they are generated.
+        Whether to send tokens as they are generated.
     """
 
     deadline_ms: float
@@ -27,26 +27,26 @@
 
 class PipelineAnswer(Message, omit_defaults=False):
     """
-    Answer a request, whole or not at all.
+    Answer a request with either a complete result or a refusal.
 
     Attributes
     ----------
     request_id : str
         Identifier of this request in every log.
     outcome : Outcome
-        `done`, or what is known instead.
+        `done`, or what is known of the effects.
     answer : dict
-        Output of each stage, by its name; only when `done`.
+        Output of each stage by stage name; only when `done`.
     refusal : Refusal or None
-        Present when there is no whole answer.
+        Present when there is no complete result.
     safe_to_retry : bool
-        Whether asking again cannot repeat the effect of a non-repeatable
-        stage: with the same idempotency key it never does; without one only
-        when this is true.
+        Whether a retry without an idempotency key cannot repeat the effect
+        of a non-repeatable stage. A retry with the same key never does.
     replayed : bool
-        Whether the answer was kept from an earlier request of the same key.
+        Whether the answer was stored by an earlier request with the same
+        key.
     elapsed_ms : float
-        Time spent here.
+        Milliseconds that the entry spent on the request.
     """
 
     request_id: str
@@ -65,11 +65,11 @@
     Attributes
     ----------
     stage : str
-        Stage that generates.
+        Stage that generated the token.
     offset : int
         Position of the token, from 0, without gaps or repeats.
     token : str
-        Its text.
+        Text of the token.
     """
 
     stage: str
--- a/packages/ragworthollow-daemon/src/ragworthollow_daemon/entry/operator_routes.py
+++ b/packages/ragworthollow-daemon/src/ragworthollow_daemon/entry/operator_routes.py
@@ -1,4 +1,4 @@
-"""Serve operators."""
+"""Serve the operator API."""
 
 import asyncio
 import hmac
@@ -26,23 +26,23 @@
 
 _KEY_HASH = re.compile('[0-9a-f]{64}')
 _REDACTED = 'redacted'
-_STATUSES = {
+_STATUS_BY_REASON = {
     Reason.conflict: 409,
     Reason.unauthorized: 403,
     Reason.invalid_configuration: 422,
     Reason.platform_unavailable: 503,
 }
-_CHANGE_BODY_BYTES = 8_000_000
+_MAX_CHANGE_BYTES = 8_000_000
 
 
 class OperatorRoutes:
     """
-    Receive changes and show what is in force.
+    Accept configuration changes and show the active configuration.
 
     Parameters
     ----------
     context : ProcessContext
-        Of this process; its settings list the operators.
+        Context of this process; its settings list the operators.
     """
 
     def __init__(self, *, context: ProcessContext) -> None:
@@ -54,18 +54,18 @@
         )
 
     def add_to(self, application: web.Application) -> None:
-        """Add the routes."""
+        """Add the routes to an application."""
         router = application.router
         router.add_get('/v1/operator/snapshot', self.get_snapshot)
         router.add_get('/v1/operator/fleet', self.get_fleet)
         router.add_post('/v1/operator/changes', self.change)
 
     async def change(self, request: web.Request) -> web.Response:
-        """Apply one change of configuration."""
+        """Apply one configuration change."""
         operator = self._identify(request)
         if operator is None:
-            return _refuse_unknown()
-        request = request.clone(client_max_size=_CHANGE_BODY_BYTES)
+            return _refuse_unauthenticated()
+        request = request.clone(client_max_size=_MAX_CHANGE_BYTES)
         try:
             change = msgspec.json.decode(
                 await request.read(),
@@ -91,13 +91,13 @@
         )
         if answer.accepted:
             self._context.spawn(self._announce(answer.generation))
-        return respond(answer, status=_STATUSES.get(answer.reason, 200))
+        return respond(answer, status=_STATUS_BY_REASON.get(answer.reason, 200))
 
     async def get_snapshot(self, request: web.Request) -> web.Response:
-        """Show the generation in force, other owners' key hashes hidden."""
+        """Show the active generation with other owners' key hashes redacted."""
         operator = self._identify(request)
         if operator is None:
-            return _refuse_unknown()
+            return _refuse_unauthenticated()
         snapshot = self._context.store.get_snapshot(0)
         texts = {
             entry.sha256: _redact(
@@ -111,16 +111,16 @@
         )
 
     async def get_fleet(self, request: web.Request) -> web.Response:
-        """Show the generation in force in every listed process."""
+        """Show the active generation of every listed process."""
         if self._identify(request) is None:
-            return _refuse_unknown()
-        lines = await asyncio.gather(
+            return _refuse_unauthenticated()
+        statuses = await asyncio.gather(
             *(
-                self._ask_generation(one.instance, one.address)
-                for one in self._context.peers.listed.instances
+                self._fetch_generation(entry.instance, entry.address)
+                for entry in self._context.peers.listed.instances
             ),
         )
-        return respond(lines)
+        return respond(statuses)
 
     def _identify(self, request: web.Request) -> str | None:
         presented = hash_secret(request.headers.get(OPERATOR_HEADER, ''))
@@ -132,11 +132,11 @@
 
     async def _announce(self, generation: int) -> None:
         """
-        Push an accepted change to the watchers of every failure domain.
+        Announce an accepted change to the watchers of all failure domains.
 
         The platform may fail right after it has accepted a change, before
-        any watch has told of it; this process holds the change and must not
-        be the only one that does.
+        any watch has delivered it. This process must not remain the only
+        one that has the change.
         """
         message = msgspec.json.encode(
             Announcement(
@@ -146,7 +146,7 @@
         )
         watchers = self._context.peers.get_all_watchers()
         await asyncio.gather(
-            *(self._push(one.address, message) for one in watchers),
+            *(self._push(watcher.address, message) for watcher in watchers),
         )
 
     async def _push(self, address: str, message: bytes) -> None:
@@ -164,8 +164,8 @@
                 error=type(error).__name__,
             )
 
-    async def _ask_generation(self, instance: str, address: str) -> FleetLine:
-        line = FleetLine(instance=instance, address=address)
+    async def _fetch_generation(self, instance: str, address: str) -> FleetLine:
+        status = FleetLine(instance=instance, address=address)
         try:
             async with self._context.session.get(
                 f'http://{address}/status',
@@ -173,14 +173,14 @@
             ) as response:
                 body = await response.read()
         except (TimeoutError, ClientError, OSError):
-            return line
-        known = msgspec.json.decode(body, type=FleetLine)
-        return msgspec.structs.replace(line, generation=known.generation)
+            return status
+        reported = msgspec.json.decode(body, type=FleetLine)
+        return msgspec.structs.replace(status, generation=reported.generation)
 
 
 def _redact(text: str, *, is_own: bool) -> str:
     return text if is_own else _KEY_HASH.sub(_REDACTED, text)
 
 
-def _refuse_unknown() -> web.Response:
+def _refuse_unauthenticated() -> web.Response:
     return respond(Problem(error='unknown operator key'), status=401)
--- a/packages/ragworthollow-daemon/src/ragworthollow_daemon/entry/pipeline_runner.py
+++ b/packages/ragworthollow-daemon/src/ragworthollow_daemon/entry/pipeline_runner.py
@@ -1,4 +1,4 @@
-"""Run all stages of a request and compose its one answer."""
+"""Run all stages of a request and compose its answer."""
 
 import msgspec
 
@@ -11,8 +11,8 @@
 from ragworthollow_daemon.entry.admitted_request import AdmittedRequest
 from ragworthollow_daemon.entry.effect_tracker import EffectTracker
 from ragworthollow_daemon.entry.estimates import Estimates
+from ragworthollow_daemon.entry.key_resolver import KeyResolver
 from ragworthollow_daemon.entry.key_router import KeyRouter
-from ragworthollow_daemon.entry.key_settlement import KeySettlement
 from ragworthollow_daemon.entry.messages import PipelineAnswer
 from ragworthollow_daemon.entry.pool_router import PoolRouter
 from ragworthollow_daemon.entry.refusals import make_refusal, refuse_request
@@ -21,19 +21,19 @@
 from ragworthollow_daemon.entry.stage_work import StageWork
 from ragworthollow_daemon.process_context import ProcessContext
 
-_NOTHING = msgspec.Raw(b'null')
+_JSON_NULL = msgspec.Raw(b'null')
 
 
 class StageInput(msgspec.Struct, frozen=True, kw_only=True):
     """
-    Hold what an upstream gets to read.
+    Define the payload that an upstream receives.
 
     Attributes
     ----------
     input : Raw
-        What the caller sent for this stage.
+        Input from the caller for this stage, or null.
     previous : Raw
-        Output of the stage before, or null.
+        Output of the preceding stage, or null.
     """
 
     input: msgspec.Raw
@@ -42,22 +42,22 @@
 
 class PipelineRunner:
     """
-    See requests through their pipelines.
+    Run requests through their pipelines.
 
     Parameters
     ----------
     context : ProcessContext
-        Of this process.
+        Context of this process.
     pools : PoolRouter
-        Sidecars of every pool.
+        Router with the sidecars of every pool.
     """
 
     def __init__(self, *, context: ProcessContext, pools: PoolRouter) -> None:
         self._context = context
-        self._name = context.settings.instance
+        self._instance = context.settings.instance
         self._estimates = Estimates()
         keys = KeyRouter(context=context, pools=pools)
-        self._settlement = KeySettlement(instance=self._name, keys=keys)
+        self._key_resolver = KeyResolver(instance=self._instance, keys=keys)
         self._stages = StageRunner(
             context=context,
             pools=pools,
@@ -68,24 +68,24 @@
 
     async def run(self, request: AdmittedRequest) -> PipelineAnswer:
         """
-        Run one request to its one answer.
+        Run one request and return its answer.
 
         Parameters
         ----------
         request : AdmittedRequest
-            From the door.
+            Validated request.
 
         Returns
         -------
         PipelineAnswer
-            Whole, or a refusal as soon as nothing more can be tried.
+            Complete result, or a refusal as soon as no attempt is left.
         """
         started_ms = get_monotonic_ms()
         answer = None
         if request.is_keyed():
-            answer = await self._settlement.settle(request)
+            answer = await self._key_resolver.resolve(request)
         if answer is None:
-            answer = self._check_time(request)
+            answer = self._refuse_if_late(request)
         if answer is None:
             answer = await self._run_stages(request)
         elapsed_ms = get_monotonic_ms() - started_ms
@@ -98,45 +98,48 @@
         self._context.metrics.latency.record('request', elapsed_ms)
         return msgspec.structs.replace(answer, elapsed_ms=elapsed_ms)
 
-    def _check_time(self, request: AdmittedRequest) -> PipelineAnswer | None:
-        """Refuse at once what cannot be finished in time."""
-        needed_ms = self._get_needed_ms(request, request.pipeline.stages)
-        if needed_ms <= request.get_remaining_ms():
+    def _refuse_if_late(
+        self, request: AdmittedRequest
+    ) -> PipelineAnswer | None:
+        """Refuse a request that cannot complete before its deadline."""
+        estimated_ms = self._estimate_ms(request, request.pipeline.stages)
+        if estimated_ms <= request.get_remaining_ms():
             return None
         return refuse_request(
             request,
             msgspec.structs.replace(
                 make_refusal(
-                    self._name,
+                    self._instance,
                     'admission',
                     Reason.deadline_too_short,
-                    f'the stages take about {needed_ms:.0f} ms at present',
+                    f'the stages take about {estimated_ms:.0f} ms at present',
                 ),
-                retry_after_ms=get_retry_after_ms(needed_ms),
+                retry_after_ms=get_retry_after_ms(estimated_ms),
             ),
         )
 
     async def _run_stages(self, request: AdmittedRequest) -> PipelineAnswer:
         effects = EffectTracker()
         outputs: dict[str, msgspec.Raw] = {}
-        previous = _NOTHING
+        previous = _JSON_NULL
         is_replayed = False
         for position, stage in enumerate(request.pipeline.stages):
-            work = self._make_work(request, position, previous, effects)
+            work = self._make_stage_work(request, position, previous, effects)
             work.earlier = dict(outputs)
             stage_answer = await self._stages.run(work)
             if stage_answer.outcome is not Outcome.done:
-                return self._give_up(request, effects, stage_answer)
+                return self._compose_refusal(request, effects, stage_answer)
             if stage_answer.replayed:
-                # The whole answer of the first request with this key, so
-                # that a dossier always matches its custody entry.
+                # Replay all outputs of the first request with this key, so
+                # that they stay consistent with each other, such as a
+                # dossier with its custody entry.
                 outputs = dict(stage_answer.earlier)
                 is_replayed = True
             previous = _get_output(work, stage_answer)
             outputs[stage.name] = previous
         return self._compose(request, outputs, is_replayed=is_replayed)
 
-    def _make_work(
+    def _make_stage_work(
         self,
         request: AdmittedRequest,
         position: int,
@@ -145,14 +148,14 @@
     ) -> StageWork:
         stages = request.pipeline.stages
         stage = stages[position]
-        later_ms = self._get_needed_ms(request, stages[position + 1 :])
+        later_ms = self._estimate_ms(request, stages[position + 1 :])
         return StageWork(
             request=request,
             stage=stage,
             payload=_render_input(request, stage, previous),
             earlier={},
             later_ms=later_ms,
-            cost_ms=self._get_needed_ms(request, (stage,)) + later_ms,
+            cost_ms=self._estimate_ms(request, (stage,)) + later_ms,
             effects=effects,
         )
 
@@ -164,19 +167,19 @@
         is_replayed: bool,
     ) -> PipelineAnswer:
         names = {stage.name for stage in request.pipeline.stages}
-        is_whole = self._context.monitor.require(
+        is_complete = self._context.monitor.require(
             holds=set(outputs) == names,
             invariant='answer.whole',
             step=request.pipeline_name,
-            peer=self._name,
+            peer=self._instance,
             detail=request.request_id,
         )
-        if not is_whole:
+        if not is_complete:
             return refuse_request(
                 request,
                 msgspec.structs.replace(
                     make_refusal(
-                        self._name, 'answer', Reason.invariant_violated, ''
+                        self._instance, 'answer', Reason.invariant_violated, ''
                     ),
                     outcome=Outcome.unknown,
                 ),
@@ -188,7 +191,7 @@
             replayed=is_replayed,
         )
 
-    def _give_up(
+    def _compose_refusal(
         self,
         request: AdmittedRequest,
         effects: EffectTracker,
@@ -208,7 +211,7 @@
             is_safe=effects.is_safe_to_retry(),
         )
 
-    def _get_needed_ms(
+    def _estimate_ms(
         self,
         request: AdmittedRequest,
         stages: tuple[Stage, ...],
@@ -229,14 +232,14 @@
     previous: msgspec.Raw,
 ) -> msgspec.Raw:
     stage_input = StageInput(
-        input=request.inputs.get(stage.name, _NOTHING),
+        input=request.inputs.get(stage.name, _JSON_NULL),
         previous=previous,
     )
     return msgspec.Raw(msgspec.json.encode(stage_input))
 
 
 def _get_output(work: StageWork, answer: StageAnswer) -> msgspec.Raw:
-    """Return the whole output, also of a generation that was resumed."""
+    """Return the complete output, also for a resumed generation."""
     if not work.tokens:
         return answer.output
     text = ''.join(work.tokens)
--- a/packages/ragworthollow-daemon/src/ragworthollow_daemon/entry/pool_router.py
+++ b/packages/ragworthollow-daemon/src/ragworthollow_daemon/entry/pool_router.py
@@ -1,4 +1,4 @@
-"""Know the sidecars of every pool and choose among them."""
+"""Track the sidecars of every pool and choose among them."""
 
 import asyncio
 
@@ -21,12 +21,12 @@
 
 class PoolRouter:
     """
-    Keep the state of the sidecars this entry talks to.
+    Track the state of the sidecars that this entry calls.
 
     Parameters
     ----------
     context : ProcessContext
-        Of this process.
+        Context of this process.
     """
 
     def __init__(self, *, context: ProcessContext) -> None:
@@ -34,11 +34,11 @@
         self._states: dict[str, PeerState] = {}
         self._subsets: dict[tuple[str, str], list[PeerState]] = {}
         self._budgets: dict[str, RetryBudget] = {}
-        self._revision = -1
+        self._listed_revision = -1
         context.store.listen(self._subsets.clear)
 
     async def run(self) -> None:
-        """Eject stragglers until cancelled."""
+        """Eject stragglers periodically until cancelled."""
         while True:
             await asyncio.sleep(
                 global_settings.EJECTION_INTERVAL_MS / _MILLISECONDS,
@@ -47,14 +47,14 @@
                 self._eject(subset)
 
     def get_budget(self, pool: str) -> RetryBudget:
-        """Return the budget for further attempts at a pool."""
+        """Return the retry budget of a pool."""
         return self._budgets.setdefault(pool, RetryBudget())
 
     def choose(
         self,
         pool: str,
         model: str,
-        wish: Wish,
+        criteria: Wish,
     ) -> PeerState | None:
         """
         Choose the sidecar for one attempt.
@@ -62,24 +62,24 @@
         Parameters
         ----------
         pool, model : str
-            Pool of the stage, and its model if it generates.
-        wish : Wish
-            Affinity, and what to avoid.
+            Pool of the stage, and its model for a generating stage.
+        criteria : Wish
+            Affinity key, and instances to avoid.
 
         Returns
         -------
         PeerState or None
-            None when nothing is left to try.
+            None when no sidecar is eligible.
         """
         return choose_peer(
             self._get_subset(pool, model),
-            wish,
+            criteria,
             get_monotonic_ms(),
             self._context.rng,
         )
 
     def get_peer(self, instance: InstanceEntry) -> PeerState:
-        """Return the state of one sidecar, listed or not."""
+        """Return the state of one sidecar, even if it is not listed."""
         state = self._states.get(instance.instance)
         if state is None or state.instance.address != instance.address:
             state = PeerState(instance=instance)
@@ -88,36 +88,36 @@
 
     def _get_subset(self, pool: str, model: str) -> list[PeerState]:
         listed = self._context.peers.listed
-        if listed.revision != self._revision:
-            self._revision = listed.revision
+        if listed.revision != self._listed_revision:
+            self._listed_revision = listed.revision
             self._subsets.clear()
-            self._forget(listed.instances)
+            self._drop_unlisted(listed.instances)
         subset = self._subsets.get((pool, model))
         if subset is None:
-            live = self._get_carriers(pool, model)
+            live = self._get_live_carriers(pool, model)
             chosen = choose_subset(
                 self._context.settings.instance,
                 live,
                 global_settings.SUBSET_SIZE,
             )
-            subset = [self.get_peer(one) for one in chosen]
+            subset = [self.get_peer(entry) for entry in chosen]
             self._subsets[pool, model] = subset
         return subset
 
-    def _get_carriers(self, pool: str, model: str) -> list[InstanceEntry]:
+    def _get_live_carriers(self, pool: str, model: str) -> list[InstanceEntry]:
         members = self._context.peers.get_pool(pool)
-        live = [one for one in members if one.state is InstanceState.live]
+        live = [entry for entry in members if entry.state is InstanceState.live]
         if not model:
             return live
         carriers = get_carriers(
             self._context.store.deployment,
             model,
-            [one.instance for one in members],
+            [entry.instance for entry in members],
         )
-        return [one for one in live if one.instance in carriers]
+        return [entry for entry in live if entry.instance in carriers]
 
-    def _forget(self, listed: tuple[InstanceEntry, ...]) -> None:
-        names = {one.instance for one in listed}
+    def _drop_unlisted(self, listed: tuple[InstanceEntry, ...]) -> None:
+        names = {entry.instance for entry in listed}
         self._states = {
             name: state
             for name, state in self._states.items()
@@ -128,6 +128,6 @@
         now_ms = get_monotonic_ms()
         for straggler in find_stragglers(subset):
             straggler.avoid_until_ms = now_ms + global_settings.EJECTION_MS
-            # It is judged anew by what it does after its return.
+            # After the ejection, judge it by new samples only.
             straggler.samples = 0
             self._context.metrics.count_event('straggler_ejected')
--- a/packages/ragworthollow-daemon/src/ragworthollow_daemon/entry/racing.py
+++ b/packages/ragworthollow-daemon/src/ragworthollow_daemon/entry/racing.py
@@ -1,4 +1,4 @@
-"""Race attempts against each other."""
+"""Race hedged attempts and cancel the ones that lose."""
 
 import asyncio
 
@@ -7,13 +7,13 @@
 
 
 def cancel_all(running: set[asyncio.Task]) -> None:
-    """Cancel attempts; closing its connection tells a sidecar to stop."""
+    """Cancel attempts; a closed connection makes the sidecar stop."""
     for task in running:
         task.cancel()
 
 
-async def take_first(running: set[asyncio.Task]) -> StageAnswer:
-    """Return the first whole result, or the last refusal."""
+async def wait_for_first_success(running: set[asyncio.Task]) -> StageAnswer:
+    """Return the first complete result, or else the last refusal."""
     pending = set(running)
     answer = None
     while pending:
--- a/packages/ragworthollow-daemon/src/ragworthollow_daemon/entry/refusals.py
+++ b/packages/ragworthollow-daemon/src/ragworthollow_daemon/entry/refusals.py
@@ -1,4 +1,4 @@
-"""Make the refusals of an entry."""
+"""Build the refusals of an entry."""
 
 from ragworthollow.outcomes import Outcome, Reason, Refusal
 from ragworthollow_daemon.entry.admitted_request import AdmittedRequest
@@ -12,22 +12,22 @@
     is_safe: bool | None = None,
 ) -> PipelineAnswer:
     """
-    Make the answer to a request that has no whole one.
+    Build the answer to a request without a complete result.
 
     Parameters
     ----------
     request : AdmittedRequest
-        The request.
+        Request to answer.
     refusal : Refusal
-        Why.
+        Refusal to return to the caller.
     is_safe : bool or None
-        Whether asking again without a key repeats no effect; by default
-        only when nothing was run.
+        Whether a retry without a key cannot repeat an effect; by default
+        true only for outcome `not_run`.
 
     Returns
     -------
     PipelineAnswer
-        With the refusal's outcome.
+        Answer with the outcome of the refusal.
     """
     if is_safe is None:
         is_safe = refusal.outcome is Outcome.not_run
@@ -46,23 +46,23 @@
     detail: str,
 ) -> Refusal:
     """
-    Make a refusal of something that was not run.
+    Build a refusal of work that was not run.
 
     Parameters
     ----------
     instance : str
         Entry that refuses.
     step : str
-        Step at which it arose.
+        Step at which the refusal arose.
     reason : Reason
-        Why.
+        Reason code.
     detail : str
-        One sentence for a person.
+        Human-readable explanation in one sentence.
 
     Returns
     -------
     Refusal
-        With outcome `not_run`.
+        Refusal with outcome `not_run`.
     """
     return Refusal(
         outcome=Outcome.not_run,
--- a/packages/ragworthollow-daemon/src/ragworthollow_daemon/entry/request_routes.py
+++ b/packages/ragworthollow-daemon/src/ragworthollow_daemon/entry/request_routes.py
@@ -1,4 +1,4 @@
-"""Serve callers."""
+"""Serve the API of callers."""
 
 import dataclasses
 import math
@@ -12,16 +12,16 @@
 from ragworthollow.transport.responses import respond
 from ragworthollow.utils import make_identifier
 from ragworthollow_daemon.entry.admitted_request import AdmittedRequest
-from ragworthollow_daemon.entry.door import Door
 from ragworthollow_daemon.entry.event_stream import EventStream
 from ragworthollow_daemon.entry.messages import PipelineAnswer
 from ragworthollow_daemon.entry.pipeline_runner import PipelineRunner
+from ragworthollow_daemon.entry.request_validator import RequestValidator
 from ragworthollow_daemon.process_context import ProcessContext
 
 _MILLISECONDS = 1000
-_OVERLOADED = 503
+_SERVICE_UNAVAILABLE = 503
 _CONFLICT = 409
-_STATUSES = {
+_STATUS_BY_REASON = {
     Reason.bad_request: 400,
     Reason.bad_deadline: 400,
     Reason.bad_idempotency_key: 400,
@@ -34,32 +34,32 @@
     Reason.shed: 429,
     Reason.deadline_too_short: 429,
 }
-_GATEWAY_ERROR = 502
+_BAD_GATEWAY = 502
 
 
 class RequestRoutes:
     """
-    Receive requests and send their answers.
+    Receive pipeline requests and send their answers.
 
     Parameters
     ----------
     context : ProcessContext
-        Of this process.
-    door : Door
-        Checks requests.
+        Context of this process.
+    validator : RequestValidator
+        Validates requests.
     runner : PipelineRunner
-        Runs them.
+        Runs validated requests.
     """
 
     def __init__(
         self,
         *,
         context: ProcessContext,
-        door: Door,
+        validator: RequestValidator,
         runner: PipelineRunner,
     ) -> None:
         self._context = context
-        self._door = door
+        self._validator = validator
         self._runner = runner
 
     def add_to(self, application: web.Application) -> None:
@@ -72,9 +72,9 @@
     async def run_pipeline(self, request: web.Request) -> web.StreamResponse:
         """Run one pipeline for one caller."""
         if self._context.drain.in_flight >= global_settings.MAX_IN_FLIGHT:
-            return self._refuse(self._make_full_refusal())
+            return self._refuse(self._make_overload_refusal())
         with self._context.drain.serving():
-            admitted = await self._door.admit(request)
+            admitted = await self._validator.admit(request)
             if isinstance(admitted, Err):
                 return self._refuse(admitted.err_value)
             if admitted.ok_value.is_stream:
@@ -111,7 +111,7 @@
             return _render(answer)
         return await stream.finish(answer)
 
-    def _make_full_refusal(self) -> Refusal:
+    def _make_overload_refusal(self) -> Refusal:
         return Refusal(
             outcome=Outcome.not_run,
             reason=Reason.overloaded,
@@ -154,7 +154,9 @@
     if answer.refusal is None:
         return web.HTTPOk.status_code
     if answer.outcome is Outcome.not_run:
-        return _STATUSES.get(answer.refusal.reason, _OVERLOADED)
+        return _STATUS_BY_REASON.get(
+            answer.refusal.reason, _SERVICE_UNAVAILABLE
+        )
     if answer.refusal.reason is Reason.bad_idempotency_key:
-        return _STATUSES[Reason.bad_idempotency_key]
-    return _GATEWAY_ERROR
+        return _STATUS_BY_REASON[Reason.bad_idempotency_key]
+    return _BAD_GATEWAY
--- a/packages/ragworthollow-daemon/src/ragworthollow_daemon/entry/door.py
+++ b/packages/ragworthollow-daemon/src/ragworthollow_daemon/entry/request_validator.py
@@ -1,4 +1,4 @@
-"""Check what callers send before anything runs."""
+"""Validate callers' requests before any stage runs."""
 
 from collections.abc import Mapping
 
@@ -29,16 +29,16 @@
 _Checked = Result[AdmittedRequest, Refusal]
 
 
-class Door:
+class RequestValidator:
     """
-    Turn HTTP requests into admitted ones.
+    Validate HTTP requests and convert them to admitted requests.
 
     Parameters
     ----------
     instance : str
-        Name of this entry, the peer of every refusal made here.
+        Name of this entry, reported as the peer of every refusal.
     store : ConfigurationStore
-        Configuration in force.
+        Active configuration.
     """
 
     def __init__(self, *, instance: str, store: ConfigurationStore) -> None:
@@ -47,17 +47,18 @@
 
     async def admit(self, request: web.Request) -> _Checked:
         """
-        Check one request.
+        Validate one request.
 
         Parameters
         ----------
         request : Request
-            As received.
+            HTTP request as received.
 
         Returns
         -------
         Result
-            The request, or a refusal with outcome `not_run`.
+            The admitted request, or a refusal. Its outcome is `not_run`,
+            or `unknown` for a key too old to tell whether it has run.
         """
         if not self._store.generation:
             return self._refuse(
@@ -74,7 +75,8 @@
         name = request.match_info['pipeline']
         pipeline = self._store.deployment.pipelines.get(name)
         if pipeline is None or organisation not in pipeline.organisations:
-            # The same words for both: nobody learns of others' pipelines.
+            # Both cases get the same message, so that a caller cannot find
+            # out which pipelines other organisations have.
             return self._refuse(
                 Reason.unknown_pipeline,
                 'no such pipeline for this key',
@@ -190,7 +192,8 @@
         once: OnceKey | None,
     ) -> AdmittedRequest:
         if once is not None:
-            # Keys of different organisations and pipelines never meet.
+            # The prefix keeps keys of different organisations and pipelines
+            # from colliding.
             once = msgspec.structs.replace(
                 once,
                 key=f'{organisation}/{name}/{once.key}',
@@ -238,7 +241,7 @@
 
 
 def _fingerprint(body: PipelineRequest) -> str:
-    """Hash the inputs, so that a key cannot be reused for another request."""
+    """Hash the inputs to detect a key reused for another request."""
     digest = xxhash.xxh64()
     for name, stage_input in sorted(body.inputs.items()):
         digest.update(name.encode())
--- a/packages/ragworthollow-daemon/src/ragworthollow_daemon/entry/role.py
+++ b/packages/ragworthollow-daemon/src/ragworthollow_daemon/entry/role.py
@@ -1,14 +1,14 @@
-"""Assemble the entry."""
+"""Assemble the entry role."""
 
 import asyncio
 
 from aiohttp import web
 
-from ragworthollow_daemon.entry.door import Door
 from ragworthollow_daemon.entry.operator_routes import OperatorRoutes
 from ragworthollow_daemon.entry.pipeline_runner import PipelineRunner
 from ragworthollow_daemon.entry.pool_router import PoolRouter
 from ragworthollow_daemon.entry.request_routes import RequestRoutes
+from ragworthollow_daemon.entry.request_validator import RequestValidator
 from ragworthollow_daemon.process_context import ProcessContext
 
 _MILLISECONDS = 1000
@@ -21,7 +21,7 @@
     Parameters
     ----------
     context : ProcessContext
-        Of this process.
+        Context of this process.
     """
 
     def __init__(self, *, context: ProcessContext) -> None:
@@ -32,7 +32,7 @@
         """Add the routes of the role."""
         RequestRoutes(
             context=self._context,
-            door=Door(
+            validator=RequestValidator(
                 instance=self._context.settings.instance,
                 store=self._context.store,
             ),
@@ -41,21 +41,21 @@
         OperatorRoutes(context=self._context).add_to(application)
 
     async def start(self) -> None:
-        """Start the loops."""
+        """Start the background tasks."""
         self._context.spawn(self._pools.run())
 
     async def stop(self, limit_ms: float) -> None:
         """
-        Wait until the balancer has moved away and nothing is served.
+        Wait for the load balancer to stop sending, then until idle.
 
-        The balancer asks for readiness only now and then, so that requests
-        keep coming for a while after the first negative answer; they are
-        served like any other.
+        The load balancer polls readiness at intervals, so that requests
+        keep arriving for a while after the first negative response. They
+        are served normally.
 
         Parameters
         ----------
         limit_ms : float
-            Longest wait.
+            Longest wait in milliseconds, applied to each of the two waits.
         """
         lag_ms = self._context.settings.balancer_lag_ms
         await asyncio.sleep(min(lag_ms, limit_ms) / _MILLISECONDS)
--- a/packages/ragworthollow-daemon/src/ragworthollow_daemon/entry/stage_runner.py
+++ b/packages/ragworthollow-daemon/src/ragworthollow_daemon/entry/stage_runner.py
@@ -14,8 +14,8 @@
 from ragworthollow_daemon.entry.key_router import KeyRouter
 from ragworthollow_daemon.entry.messages import TokenEvent
 from ragworthollow_daemon.entry.pool_router import PoolRouter
-from ragworthollow_daemon.entry.racing import cancel_all, take_first
-from ragworthollow_daemon.entry.retry_rules import may_go_elsewhere
+from ragworthollow_daemon.entry.racing import cancel_all, wait_for_first_success
+from ragworthollow_daemon.entry.retry_rules import may_retry_elsewhere
 from ragworthollow_daemon.entry.stage_caller import StageCaller
 from ragworthollow_daemon.entry.stage_work import StageWork
 from ragworthollow_daemon.process_context import ProcessContext
@@ -148,7 +148,7 @@
         second = None if done else self._start_hedge(work)
         if second is not None:
             running.add(second)
-        answer = await take_first(running)
+        answer = await wait_for_first_success(running)
         cancel_all(running)
         return answer
 
@@ -189,7 +189,7 @@
         )
         # Each end counts, also that of an attempt that loses a race: only
         # when none has reached an upstream was the request not run.
-        work.effects.note(work.stage, answer)
+        work.effects.record(work.stage, answer)
         return answer
 
     def _check_offset(
@@ -240,7 +240,7 @@
                 # Nothing was left to try: looking again would find nothing
                 # and keep the loop from everybody else's requests.
                 return False
-            return may_go_elsewhere(work, answer.refusal.reason)
+            return may_retry_elsewhere(work, answer.refusal.reason)
         if not work.stage.repeatable:
             return False
         if work.attempts >= global_settings.MAX_ATTEMPTS:
--- a/packages/ragworthollow-daemon/src/ragworthollow_daemon/web/configuration_routes.py
+++ b/packages/ragworthollow-daemon/src/ragworthollow_daemon/web/configuration_routes.py
@@ -49,7 +49,7 @@
         application.router.add_get('/v1/configuration', self.get_newer)
         application.router.add_post(
             '/v1/configuration/announcements',
-            self.take_announcement,
+            self.apply_announcement,
         )
 
     async def get_newer(self, request: web.Request) -> web.Response:
@@ -68,7 +68,7 @@
             return web.Response(status=204)
         return respond(store.get_snapshot(have))
 
-    async def take_announcement(self, request: web.Request) -> web.Response:
+    async def apply_announcement(self, request: web.Request) -> web.Response:
         """Fetch a generation from the process that has just accepted it."""
         try:
             announcement = msgspec.json.decode(
--- a/packages/ragworthollow/src/ragworthollow/transport/piece_messages.py
+++ b/packages/ragworthollow/src/ragworthollow/transport/piece_messages.py
@@ -8,7 +8,7 @@
 from ragworthollow.utils.message import Message
 
 
-class PieceOrder(Message):
+class PieceRequest(Message):
     """
     Ask for one piece.
 
@@ -71,10 +71,10 @@
 
     pool: str
     asker: str
-    orders: tuple[PieceOrder, ...]
+    orders: tuple[PieceRequest, ...]
 
 
-class PiecesAnswer(Message):
+class PiecesResponse(Message):
     """Answer with results in the order of the pieces."""
 
     results: tuple[PieceResultMessage, ...]
@@ -151,7 +151,7 @@
             pool=pool,
             asker=pieces[0].asker,
             orders=tuple(
-                PieceOrder(
+                PieceRequest(
                     request_id=piece.request_id,
                     position=piece.position,
                     number=piece.number,
@@ -195,9 +195,9 @@
     )
 
 
-def encode_results(results: tuple[PieceResult, ...]) -> PiecesAnswer:
+def encode_results(results: tuple[PieceResult, ...]) -> PiecesResponse:
     """Make the answer to a gateway."""
-    return PiecesAnswer(
+    return PiecesResponse(
         results=tuple(
             PieceResultMessage(
                 outcome=one.outcome,
@@ -218,7 +218,7 @@
     msgspec.DecodeError
         The bytes are no such answer.
     """
-    answer = msgspec.json.decode(text, type=PiecesAnswer)
+    answer = msgspec.json.decode(text, type=PiecesResponse)
     return tuple(
         PieceResult(
             outcome=one.outcome,
