--- a/packages/ragworthollow-daemon/src/ragworthollow_daemon/entry/stage_caller.py
+++ b/packages/ragworthollow-daemon/src/ragworthollow_daemon/entry/stage_caller.py
@@ -1,4 +1,4 @@
-"""Send one attempt to one sidecar."""
+"""Send a single attempt to a sidecar."""
 
 import asyncio
 from collections.abc import AsyncIterator, Awaitable, Callable
@@ -31,12 +31,12 @@
 
 class StageCaller:
     """
-    Call sidecars and say truthfully how each attempt ended.
+    Call sidecars and classify how each attempt ended.
 
     Parameters
     ----------
     context : ProcessContext
-        Of this process.
+        Context of this process.
     """
 
     def __init__(self, *, context: ProcessContext) -> None:
@@ -50,29 +50,31 @@
         timeout_ms: float,
     ) -> StageAnswer:
         """
-        Run one attempt to its end.
+        Run one attempt until it ends.
 
         Parameters
         ----------
         peer : PeerState
-            Sidecar to call; its state learns from the answer.
+            Sidecar to call; its state is updated from the answer.
         call : StageCall
-            What to run.
+            Stage call to send.
         emit : callable
-            Takes each token of a stream.
+            Coroutine function that receives each token of a stream.
         timeout_ms : float
-            Longest silence for a stream, longest wait otherwise.
+            Longest gap between reads for a stream, otherwise limit for the
+            whole call, in milliseconds.
 
         Returns
         -------
         StageAnswer
-            Never raises for what the peer or the network does.
+            Answer of the sidecar. Faults of the sidecar or the network
+            become refusals and are not raised.
         """
         body = MarkedBody(msgspec.json.encode(call))
         started_ms = get_monotonic_ms()
         peer.in_flight += 1
         try:
-            async with _limit_head(call, body):
+            async with _limit_continue_wait(call, body):
                 answer = await self._exchange(
                     peer,
                     call,
@@ -81,10 +83,10 @@
                     body,
                 )
         except _FAILURES as error:
-            answer = self._classify(peer, call, error, body)
+            answer = self._classify_failure(peer, call, error, body)
         finally:
             peer.in_flight -= 1
-        self._learn(peer, answer, get_monotonic_ms() - started_ms)
+        self._record_attempt(peer, answer, get_monotonic_ms() - started_ms)
         return answer
 
     async def _exchange(
@@ -100,9 +102,9 @@
         async with self._context.session.post(
             f'http://{peer.instance.address}/v1/stages',
             data=body,
-            # With this, the body of a non-repeatable call leaves only after
-            # the sidecar has answered the head: a connection that was dying
-            # is found out while the call has provably not run.
+            # The body of a non-repeatable call is sent only after the
+            # sidecar has replied "100 Continue", so that a broken connection
+            # is detected while the call has provably not run.
             expect100=call.once is not None,
             timeout=aiohttp.ClientTimeout(
                 total=None if is_stream else limit,
@@ -150,17 +152,18 @@
         answer: StageAnswer,
     ) -> StageAnswer:
         """
-        Drop an answer that belongs to another attempt.
+        Reject an answer that belongs to another attempt.
 
-        A crossed answer would hand one caller's result to another; the
-        echoed identifiers show it, since no two attempts share them.
+        A mismatched answer would deliver one caller's result to another.
+        The echoed identifiers reveal it, since they are unique to an
+        attempt.
         """
-        is_ours = (answer.request_id, answer.stage, answer.attempt) == (
+        is_matching = (answer.request_id, answer.stage, answer.attempt) == (
             call.request_id,
             call.stage,
             call.attempt,
         )
-        if is_ours:
+        if is_matching:
             return answer
         self._context.metrics.count_event('mismatched_answer')
         return self._refuse(
@@ -170,7 +173,7 @@
             Reason.mismatched_answer,
         )
 
-    def _classify(
+    def _classify_failure(
         self,
         peer: PeerState,
         call: StageCall,
@@ -209,7 +212,7 @@
             detail=detail,
         )
 
-    def _learn(
+    def _record_attempt(
         self,
         peer: PeerState,
         answer: StageAnswer,
@@ -228,31 +231,32 @@
             peer.record_load(answer.load, now_ms)
         if answer.outcome is Outcome.done:
             peer.record_success(elapsed_ms)
-        elif reason in _BLAMED:
+        elif reason in _INSTANCE_FAULTS:
             peer.record_failure(now_ms)
 
 
 @asynccontextmanager
-async def _limit_head(
+async def _limit_continue_wait(
     call: StageCall,
     body: MarkedBody,
 ) -> AsyncIterator[None]:
     """
-    Give a frozen sidecar up while its call has provably not run.
+    Time out an unresponsive sidecar while the call has provably not run.
 
-    A stopped process still accepts connections in its kernel, so that a
-    connect says nothing.  It does not answer the head, though, and until it
-    does no byte of the body leaves.
+    The kernel accepts connections even for a stopped process, so that a
+    successful connect proves nothing. A stopped process does not reply
+    "100 Continue", however, and before that reply no byte of the body is
+    sent.
     """
     if call.once is None:
         yield
         return
     loop = asyncio.get_running_loop()
-    async with asyncio.timeout(None) as head:
+    async with asyncio.timeout(None) as timeout:
 
         def expire() -> None:
             if not body.started:
-                head.reschedule(loop.time())
+                timeout.reschedule(loop.time())
 
         limit = global_settings.HEAD_TIMEOUT_MS / _MILLISECONDS
         timer = loop.call_later(limit, expire)
@@ -262,8 +266,8 @@
             timer.cancel()
 
 
-# Reasons that tell of a broken instance and not of a busy one.
-_BLAMED = frozenset(
+# Reasons that indicate a faulty instance rather than a busy one.
+_INSTANCE_FAULTS = frozenset(
     (
         Reason.connect_failed,
         Reason.connection_lost,
--- a/packages/ragworthollow-daemon/src/ragworthollow_daemon/entry/stage_runner.py
+++ b/packages/ragworthollow-daemon/src/ragworthollow_daemon/entry/stage_runner.py
@@ -1,4 +1,4 @@
-"""Run one stage of a request, with further attempts where they are safe."""
+"""Run one stage of a request, with retries where they are safe."""
 
 import asyncio
 
@@ -25,20 +25,20 @@
 
 class StageRunner:
     """
-    See one stage through.
+    Run stages with retries and hedging.
 
     Parameters
     ----------
     context : ProcessContext
-        Of this process.
+        Context of this process.
     pools : PoolRouter
-        Chooses sidecars.
+        Router that chooses sidecars.
     keys : KeyRouter
-        Finds owners of keys.
+        Router that finds the owners of keys.
     estimates : Estimates
-        Learns how long stages take.
+        Estimates of stage durations, updated by each success.
     caller : StageCaller
-        Sends single attempts.
+        Caller that sends single attempts.
     """
 
     def __init__(
@@ -58,17 +58,17 @@
 
     async def run(self, work: StageWork) -> StageAnswer:
         """
-        Try a stage until it is done or nothing more can be tried.
+        Attempt a stage until it is done or no attempt is left.
 
         Parameters
         ----------
         work : StageWork
-            The stage of one request.
+            State of the stage of one request; updated.
 
         Returns
         -------
         StageAnswer
-            The answer that ended it.
+            Answer of the last attempt.
         """
         pool = work.stage.pool
         self._pools.get_budget(pool).earn()
@@ -113,21 +113,22 @@
             )
         affinity = ''
         if work.stage.kind is StageKind.generate:
-            # Requests of one organisation and pipeline share their prompt's
-            # prefix; rivals never do.
+            # Requests of one organisation and pipeline share a prompt
+            # prefix; those of different organisations never do.
             affinity = f'{request.organisation}/{request.pipeline_name}'
         wish = Wish(affinity_key=affinity, avoid=frozenset(work.tried))
         stage = work.stage
         peer = self._pools.choose(stage.pool, stage.model, wish)
         if peer is None and work.tried:
-            # A small pool: each was tried, and one may have come back.
+            # In a small pool all instances may have been tried; one of
+            # them may have recovered.
             work.tried.clear()
             await asyncio.sleep(global_settings.KEYED_RETRY_MS / _MILLISECONDS)
             peer = self._pools.choose(stage.pool, stage.model, Wish())
         return peer
 
     async def _hedge(self, work: StageWork, peer: PeerState) -> StageAnswer:
-        """Start a second attempt when the first takes unusually long."""
+        """Run an attempt, and start a second if it takes unusually long."""
         running = {asyncio.ensure_future(self._attempt(work, peer))}
         try:
             return await self._race(work, running)
@@ -187,8 +188,8 @@
             emit,
             self._get_timeout_ms(work),
         )
-        # Each end counts, also that of an attempt that loses a race: only
-        # when none has reached an upstream was the request not run.
+        # Record every attempt, including one that loses a race: a request
+        # counts as not run only if no attempt has reached an upstream.
         work.effects.record(work.stage, answer)
         return answer
 
@@ -235,10 +236,11 @@
         if work.request.get_remaining_ms() <= 0:
             return False
         if answer.outcome is Outcome.not_run:
-            is_ours = answer.refusal.peer == self._context.settings.instance
-            if is_ours and not work.is_keyed_once():
-                # Nothing was left to try: looking again would find nothing
-                # and keep the loop from everybody else's requests.
+            is_local = answer.refusal.peer == self._context.settings.instance
+            if is_local and not work.is_keyed_once():
+                # No instance was left to try. Another search would find
+                # none either, and would keep the event loop from serving
+                # other requests.
                 return False
             return may_retry_elsewhere(work, answer.refusal.reason)
         if not work.stage.repeatable:
@@ -251,19 +253,23 @@
         remaining_ms = work.request.get_remaining_ms()
         if not work.stage.repeatable:
             return remaining_ms
-        known_ms = self._estimates.get_ms(work.get_key(), get_monotonic_ms())
+        estimated_ms = self._estimates.get_ms(
+            work.get_key(), get_monotonic_ms()
+        )
         if work.stage.kind is StageKind.generate:
             floor_ms = global_settings.STREAM_SILENCE_FLOOR_MS
             factor = global_settings.STREAM_SILENCE_FACTOR
         else:
             floor_ms = global_settings.CALL_TIMEOUT_FLOOR_MS
             factor = global_settings.CALL_TIMEOUT_FACTOR
-        return min(remaining_ms, max(floor_ms, known_ms * factor))
+        return min(remaining_ms, max(floor_ms, estimated_ms * factor))
 
     def _get_hedge_delay_ms(self, work: StageWork) -> float:
-        known_ms = self._estimates.get_ms(work.get_key(), get_monotonic_ms())
+        estimated_ms = self._estimates.get_ms(
+            work.get_key(), get_monotonic_ms()
+        )
         return max(
-            known_ms * global_settings.HEDGE_QUANTILE_FACTOR,
+            estimated_ms * global_settings.HEDGE_QUANTILE_FACTOR,
             global_settings.HEDGE_DELAY_FLOOR_MS,
         )
 
--- a/packages/ragworthollow-daemon/src/ragworthollow_daemon/entry/stage_work.py
+++ b/packages/ragworthollow-daemon/src/ragworthollow_daemon/entry/stage_work.py
@@ -1,4 +1,4 @@
-"""Define the work on one stage of a request."""
+"""Define the state of one stage of a request."""
 
 from dataclasses import dataclass, field
 
@@ -12,30 +12,31 @@
 @dataclass(kw_only=True, slots=True)
 class StageWork:
     """
-    Gather what one stage of a request has tried.
+    Track the attempts of one stage of a request.
 
     Attributes
     ----------
     request : AdmittedRequest
-        The request.
+        Request that the stage belongs to.
     stage : Stage
-        The stage.
+        Definition of the stage.
     payload : Raw
-        Its input.
+        Input of the stage as JSON.
     earlier : dict
-        Outputs of the stages before.
+        Outputs of the preceding stages by stage name.
     later_ms, cost_ms : float
-        Estimated time of the later stages, and of this one and them.
+        Estimated milliseconds of the later stages, and of this stage and
+        the later ones together.
     effects : EffectTracker
-        Account of the whole request.
+        Tracker of the effects of the whole request.
     attempts : int
-        Attempts made so far.
+        Number of attempts so far.
     busy_refusals : int
-        Refusals of busy instances so far.
+        Number of refusals by busy instances so far.
     tried : set of str
-        Instances not to be tried again.
+        Names of the instances that were already tried.
     tokens : list of str
-        Tokens received so far; a further attempt resumes behind them.
+        Tokens received so far; the next attempt resumes after them.
     """
 
     request: AdmittedRequest
@@ -51,9 +52,9 @@
     tokens: list[str] = field(default_factory=list)
 
     def is_keyed_once(self) -> bool:
-        """Tell whether only the owner of the caller's key may run it."""
+        """Return whether only the owner of the caller's key may run it."""
         return self.request.is_keyed() and not self.stage.repeatable
 
     def get_key(self) -> str:
-        """Return the name under which estimates are kept."""
+        """Return the key under which estimates are stored."""
         return f'{self.request.pipeline_name}/{self.stage.name}'
--- a/packages/ragworthollow-daemon/src/ragworthollow_daemon/web/__init__.py
+++ b/packages/ragworthollow-daemon/src/ragworthollow_daemon/web/__init__.py
@@ -1,4 +1,4 @@
-"""Serve the routes that both roles have in common."""
+"""Serve the routes common to both roles."""
 
 from ragworthollow.transport.responses import respond
 from ragworthollow_daemon.web.application import make_application, run_site
--- a/packages/ragworthollow-daemon/src/ragworthollow_daemon/web/application.py
+++ b/packages/ragworthollow-daemon/src/ragworthollow_daemon/web/application.py
@@ -1,4 +1,4 @@
-"""Make the HTTP application of a process."""
+"""Create the HTTP application of a process."""
 
 from collections.abc import Awaitable, Callable
 
@@ -13,8 +13,9 @@
 
 Handler = Callable[[web.Request], Awaitable[web.StreamResponse]]
 
-# Paths that callers, operators, scrapers and the balancer use; all others
-# are for processes of this deployment only.
+# Callers, operators, metrics scrapers and the load balancer use these paths
+# and the scraped ones below. All others are for processes of this deployment
+# only.
 _OPEN_PATHS = ('/v1/pipelines/', '/v1/operator/', '/healthz', '/readyz')
 _STAGES_PATH = '/v1/stages'
 _SCRAPED_PATHS = ('/metrics', '/status')
@@ -22,17 +23,17 @@
 
 def make_application(context: ProcessContext) -> web.Application:
     """
-    Make the application with the routes of both roles.
+    Create the application with the routes common to both roles.
 
     Parameters
     ----------
     context : ProcessContext
-        Of this process.
+        Context of this process.
 
     Returns
     -------
     Application
-        To which a role adds its own routes.
+        Application to which a role adds its own routes.
     """
 
     @web.middleware
@@ -49,7 +50,7 @@
             context.metrics.count_event('control_message')
         response = await handler(request)
         if context.drain.is_draining and not response.prepared:
-            # The next request of this connection goes to another process.
+            # Makes the client send its next request to another process.
             response.force_close()
         return response
 
@@ -67,19 +68,19 @@
     listen: ListenSettings,
 ) -> web.AppRunner:
     """
-    Start to listen.
+    Start to listen for connections.
 
     Parameters
     ----------
     application : Application
-        What to serve.
+        Application to serve.
     listen : ListenSettings
-        Where.
+        Host and port to listen on.
 
     Returns
     -------
     AppRunner
-        To be cleaned up by the caller.
+        Runner that the caller must clean up.
     """
     runner = web.AppRunner(
         application,
--- a/packages/ragworthollow-daemon/src/ragworthollow_daemon/web/configuration_routes.py
+++ b/packages/ragworthollow-daemon/src/ragworthollow_daemon/web/configuration_routes.py
@@ -1,4 +1,4 @@
-"""Give other processes the configuration in force."""
+"""Serve the active configuration to other processes."""
 
 import asyncio
 
@@ -15,14 +15,14 @@
 
 class Announcement(Message):
     """
-    Tell a watcher of a generation that was just accepted.
+    Notify a watcher of a newly accepted generation.
 
     Attributes
     ----------
     generation : int
-        The new one.
+        Number of the new generation.
     address : str
-        Process that holds it.
+        Address of a process that has the generation.
     """
 
     generation: int
@@ -31,21 +31,21 @@
 
 class ConfigurationRoutes:
     """
-    Serve the configuration to peers.
+    Serve the configuration to other processes.
 
     Parameters
     ----------
     context : ProcessContext
-        Of this process.
+        Context of this process.
     """
 
     def __init__(self, *, context: ProcessContext) -> None:
         self._context = context
         self._changed = asyncio.Event()
-        context.store.listen(self._wake)
+        context.store.listen(self._notify_waiters)
 
     def add_to(self, application: web.Application) -> None:
-        """Add the routes."""
+        """Add the routes to an application."""
         application.router.add_get('/v1/configuration', self.get_newer)
         application.router.add_post(
             '/v1/configuration/announcements',
@@ -53,7 +53,7 @@
         )
 
     async def get_newer(self, request: web.Request) -> web.Response:
-        """Answer as soon as something newer is in force, or with nothing."""
+        """Return a newer generation, or status 204 after a long poll."""
         try:
             have = int(request.query['have'])
             wait_ms = int(request.query['wait_ms'])
@@ -61,7 +61,7 @@
             return respond(Problem(error='have and wait_ms'), status=400)
         store = self._context.store
         if store.generation <= have:
-            await self._wait(
+            await self._wait_for_change(
                 min(wait_ms, global_settings.CONFIGURATION_WAIT_MS)
             )
         if store.generation <= have:
@@ -69,7 +69,7 @@
         return respond(store.get_snapshot(have))
 
     async def apply_announcement(self, request: web.Request) -> web.Response:
-        """Fetch a generation from the process that has just accepted it."""
+        """Fetch an announced generation from the process that has it."""
         try:
             announcement = msgspec.json.decode(
                 await request.read(),
@@ -81,13 +81,13 @@
             await self._context.follower.pull(announcement.address, wait_ms=0)
         return web.Response(status=204)
 
-    async def _wait(self, wait_ms: int) -> None:
+    async def _wait_for_change(self, wait_ms: int) -> None:
         try:
             async with asyncio.timeout(wait_ms / _MILLISECONDS):
                 await self._changed.wait()
         except TimeoutError:
             return
 
-    def _wake(self) -> None:
+    def _notify_waiters(self) -> None:
         self._changed.set()
         self._changed = asyncio.Event()
--- a/packages/ragworthollow-daemon/src/ragworthollow_daemon/web/health_routes.py
+++ b/packages/ragworthollow-daemon/src/ragworthollow_daemon/web/health_routes.py
@@ -17,24 +17,25 @@
 
 class Status(Message, omit_defaults=False):
     """
-    Show the state of a process.
+    Report the state of a process.
 
     Attributes
     ----------
     instance, incarnation, role, failure_domain : str
-        Which process it is.
+        Identity of the process.
     generation : int
-        Configuration generation in force.
+        Active configuration generation.
     draining : bool
-        Whether it is stopping.
+        Whether the process is shutting down.
     in_flight : int
-        Calls it serves now.
+        Number of calls in progress.
     platform_calls : int
-        Calls to the key-value service since the start.
+        Calls to the key-value service since the process started.
     violations : int
-        Violated invariants since the start; any is a defect.
+        Invariant violations since the process started; each indicates a
+        defect.
     details : dict
-        What the role adds.
+        Additional values of the role.
     """
 
     instance: str
@@ -51,30 +52,30 @@
 
 class HealthRoutes:
     """
-    Answer those who watch this process.
+    Serve the monitoring endpoints of this process.
 
     Parameters
     ----------
     context : ProcessContext
-        Of this process.
+        Context of this process.
     """
 
     def __init__(self, *, context: ProcessContext) -> None:
         self._context = context
 
     def add_to(self, application: web.Application) -> None:
-        """Add the routes."""
+        """Add the routes to an application."""
         application.router.add_get('/healthz', self.get_health)
         application.router.add_get('/readyz', self.get_readiness)
         application.router.add_get('/metrics', self.get_metrics)
         application.router.add_get('/status', self.get_status)
 
     async def get_health(self, _request: web.Request) -> web.Response:
-        """Answer as long as the loop turns."""
+        """Respond as long as the event loop runs."""
         return web.Response(text='ok\n')
 
     async def get_readiness(self, _request: web.Request) -> web.Response:
-        """Tell the balancer whether new requests are welcome."""
+        """Report to the load balancer whether to send new requests."""
         if self._context.drain.is_draining:
             return respond(Problem(error='draining'), status=_UNAVAILABLE)
         if not self._context.store.generation:
@@ -84,7 +85,7 @@
         return web.Response(text='ready\n')
 
     async def get_metrics(self, _request: web.Request) -> web.Response:
-        """Render the metrics in the text format of scrapers."""
+        """Render the metrics in the Prometheus text format."""
         context = self._context
         context.metrics.set_state('generation', context.store.generation)
         context.metrics.set_state('in_flight', context.drain.in_flight)
@@ -95,7 +96,7 @@
         )
 
     async def get_status(self, request: web.Request) -> web.Response:
-        """Show the state as JSON."""
+        """Return the state as JSON."""
         context = self._context
         get_details = request.app.get(DETAILS_KEY, dict)
         return respond(
--- a/packages/ragworthollow/src/ragworthollow/transport/__init__.py
+++ b/packages/ragworthollow/src/ragworthollow/transport/__init__.py
@@ -1,4 +1,4 @@
-"""Define what crosses between processes and how it is sent."""
+"""Define the messages between processes and their HTTP transport."""
 
 from ragworthollow.transport.load_report import LoadReport
 from ragworthollow.transport.once_key import OnceKey
--- a/packages/ragworthollow/src/ragworthollow/transport/checked_connector.py
+++ b/packages/ragworthollow/src/ragworthollow/transport/checked_connector.py
@@ -1,4 +1,4 @@
-"""Reuse connections to upstreams only while nothing odd happened on them."""
+"""Reuse connections to upstreams only if they hold no unexpected data."""
 
 import aiohttp
 from aiohttp.client_reqrep import ClientRequest
@@ -12,11 +12,11 @@
 
 class CheckedConnector(aiohttp.TCPConnector):
     """
-    Skip kept connections on which bytes arrived that nobody asked for.
+    Skip idle connections on which unsolicited bytes have arrived.
 
-    An upstream may send a second answer after a complete one.  The library
-    would hand it to the next request of the connection as its answer; that
-    request may have run by then, and its own answer would be lost.
+    An upstream may send a second response after a complete one. aiohttp
+    would use it as the response to the next request on the connection. That
+    request may have run by then, and its own response would be lost.
     """
 
     async def connect(
@@ -36,12 +36,12 @@
 
 def make_upstream_session() -> aiohttp.ClientSession:
     """
-    Make a session for requests to upstreams.
+    Create a session for requests to upstreams.
 
     Returns
     -------
     ClientSession
-        To be closed by the caller.
+        Session that the caller must close.
     """
     session = aiohttp.ClientSession(
         connector=CheckedConnector(
@@ -61,8 +61,8 @@
             'Content-Type',
         ),
     )
-    # The library sends a GET once more by itself when a kept connection
-    # breaks.  That second attempt would not be counted, and a GET of a route
-    # that may not be repeated would run twice.
+    # aiohttp retries a GET by itself when a reused connection breaks. That
+    # second attempt would not be counted, and a GET of a route that may not be
+    # repeated would run twice.
     session._retry_connection = False  # noqa: SLF001
     return session
--- a/packages/ragworthollow/src/ragworthollow/transport/host_messages.py
+++ b/packages/ragworthollow/src/ragworthollow/transport/host_messages.py
@@ -1,4 +1,4 @@
-"""Define what gateways say to each other about themselves."""
+"""Define the status and membership messages between gateways."""
 
 from ragworthollow.membership.gateway_member import GatewayMember
 from ragworthollow.quarantine.evidence_news import EvidenceNews
@@ -12,25 +12,27 @@
 
 class GatewayPing(Message):
     """
-    Ask a host whether it lives, and announce work that will come to it.
+    Check whether a host is alive, and announce work expected for it.
 
     Attributes
     ----------
     instance : str
-        Who asks.
+        Name of the gateway that sends the ping.
     incarnation : str
-        Which of its processes.
+        Incarnation of that gateway.
     announced : dict
-        Pieces that its requests will need later, by pool and priority.
+        Number of pieces that its requests will need later, by pool and
+        priority.
     store_revision, store_timeline : int
-        Up to which it knows what the store holds, and how often the store had
-        been restored by then.
+        Last revision of the store that it knows, and the restore count of the
+        store at that revision.
     evidence : EvidenceNews, optional
-        What it knows of crashes.
+        Its evidence of crashes.
     leaving_ages_ms : dict of str to float
-        How long ago instances said that they leave, by their incarnation.
+        Milliseconds since instances reported that they are shutting down, by
+        incarnation.
     named_limits : dict of str to LimitNews
-        What instances have said of their limits, by their incarnation.
+        Limits that instances have advertised, by incarnation.
     """
 
     instance: str
@@ -45,28 +47,31 @@
 
 class HostState(Message):
     """
-    Say who is alive, and how busy its gates are.
+    Report that a gateway is alive and how busy its schedulers are.
 
     Attributes
     ----------
     can_host : bool
-        Whether it knows the upstream instances; one that starts while the
-        store is away does not, and pieces would wait there for its return.
+        Whether it knows the upstream instances. A gateway that starts while
+        the store is unavailable does not, and pieces would wait there until
+        the store is available again.
     instance : str
         Name of the gateway.
     is_leaving : bool
-        Whether it is stopping: it finishes what it has, and takes no more.
+        Whether it is shutting down: it finishes work in progress and accepts
+        no more.
     waits_ms : dict
         Expected waits of a new piece, by pool and priority; None where no
-        instance of the pool takes work.
+        instance of the pool accepts work.
     store : StoreNews, optional
-        What it knows of the store; nothing before its first read.
+        Its update on the store; None before its first read.
     evidence : EvidenceNews, optional
-        What it knows of crashes.
+        Its evidence of crashes.
     leaving_ages_ms : dict of str to float
-        How long ago instances said that they leave, by their incarnation.
+        Milliseconds since instances reported that they are shutting down, by
+        incarnation.
     named_limits : dict of str to LimitNews
-        What instances have said of their limits, by their incarnation.
+        Limits that instances have advertised, by incarnation.
     """
 
     instance: str
@@ -80,6 +85,6 @@
 
 
 class MemberChange(Message):
-    """Tell the other gateways that one joins or leaves."""
+    """Notify the other gateways that one joins or leaves."""
 
     member: GatewayMember
--- a/packages/ragworthollow/src/ragworthollow/transport/limited_server.py
+++ b/packages/ragworthollow/src/ragworthollow/transport/limited_server.py
@@ -1,4 +1,4 @@
-"""Serve callers within the time limits of the configuration in force."""
+"""Serve callers within the time limits of the active configuration."""
 
 import asyncio
 from collections.abc import Awaitable, Callable
@@ -11,8 +11,8 @@
 from ragworthollow.routes import RequestLimits
 
 _MILLISECONDS = 1000
-# A whole head has not come, so that nothing has run.
-_HEAD_TOO_SLOW = (
+# The request head is incomplete, so that nothing has run.
+_HEAD_TIMEOUT_RESPONSE = (
     b'HTTP/1.1 408 Request Timeout\r\n'
     b'Connection: close\r\n'
     b'Content-Length: 0\r\n\r\n'
@@ -24,23 +24,23 @@
 
 class LimitedConnection(RequestHandler):
     """
-    Bound how long a head may take, and how long a connection may idle.
+    Limit the time for a request head and the idle time of a connection.
 
-    A caller that sends its head a byte at a time, or opens connections and
-    sends nothing, would hold memory and descriptors for as long as it
-    likes.  The library bounds idle connections by a figure that is fixed
-    when a connection opens, and heads not at all.  A limit that grows holds
-    for open connections too: a caller that goes by the new limit would
-    otherwise have its request cross the close.
+    A caller that sends its head one byte at a time, or opens connections and
+    sends nothing, could hold memory and file descriptors indefinitely.
+    aiohttp fixes the idle limit when a connection opens and does not limit
+    the time for a head at all. A raised idle limit applies to open
+    connections too: otherwise a caller that relies on the new limit could
+    send a request just as the server closes the connection.
 
     Parameters
     ----------
     server : LimitedServer
-        Whose connection it is.
+        Server that accepted the connection.
     get_limits : callable
-        Returns the limits in force.
+        Returns the active limits.
     options
-        Of the library's own handler.
+        Options of the aiohttp request handler.
     """
 
     def __init__(
@@ -58,52 +58,52 @@
         self._head_timer: asyncio.TimerHandle | None = None
 
     def data_received(self, data: bytes) -> None:  # noqa: WPS110
-        """Take bytes, and give a head that has begun its time to end."""
+        """Process bytes, and start the timer when a request head begins."""
         super().data_received(data)
         if not self._is_waiting():
-            self._stop_head_timer()
+            self._cancel_head_timer()
         elif self._head_timer is None:
             self._head_timer = self._loop.call_later(
                 self._get_limits().header_timeout_ms / _MILLISECONDS,
-                self._end_slow_head,
+                self._handle_head_timeout,
             )
 
     def connection_lost(self, exc: BaseException | None) -> None:
-        """Forget the connection."""
-        self._stop_head_timer()
+        """Stop the timer of a closed connection."""
+        self._cancel_head_timer()
         super().connection_lost(exc)
 
     def _is_waiting(self) -> bool:
         """
-        Tell whether no request is worked on and none has arrived.
+        Return whether no request is in progress and none has arrived.
 
-        The first bytes may come before the library begins to wait.
+        The first bytes may arrive before aiohttp begins to wait for them.
         """
         if not self._request_count:
             return True
         return self._waiter is not None and not self._waiter.done()
 
-    def _stop_head_timer(self) -> None:
+    def _cancel_head_timer(self) -> None:
         if self._head_timer is not None:
             self._head_timer.cancel()
             self._head_timer = None
 
-    def _end_slow_head(self) -> None:
+    def _handle_head_timeout(self) -> None:
         self._head_timer = None
         if not self._is_waiting() or self.transport is None:
             return
         log_event('head_too_slow', step='front', peer=str(self.peername))
-        self.transport.write(_HEAD_TOO_SLOW)
+        self.transport.write(_HEAD_TIMEOUT_RESPONSE)
         self.force_close()
 
     def _process_keepalive(self) -> None:
-        """Close an idle connection by the limit that is now in force."""
+        """Close an idle connection by the currently active limit."""
         limit_s = self._get_limits().idle_timeout_ms / _MILLISECONDS
-        later_s = max(0, limit_s - self._keepalive_timeout)
-        close_s = self._next_keepalive_close_time + later_s
+        extension_s = max(0, limit_s - self._keepalive_timeout)
+        close_s = self._next_keepalive_close_time + extension_s
         now_s = self._loop.time()
         if self._head_timer is not None:
-            # A head has begun, and has a limit of its own.
+            # A request head has begun and has its own time limit.
             close_s = now_s + limit_s
         if now_s < close_s:
             self._keepalive_handle = self._loop.call_at(
@@ -116,14 +116,14 @@
 
 class LimitedServer(web.Server):
     """
-    Make a limited connection of each that callers open.
+    Accept connections from callers and apply time limits to them.
 
     Parameters
     ----------
     handle : callable
-        Answers a request.
+        Handles a request.
     get_limits : callable
-        Returns the limits in force.
+        Returns the active limits.
     """
 
     def __init__(self, handle: Handle, *, get_limits: GetLimits) -> None:
@@ -131,7 +131,7 @@
         self._get_limits = get_limits
 
     def __call__(self) -> RequestHandler:
-        """Make the handler of a new connection."""
+        """Create the handler of a new connection."""
         return LimitedConnection(
             self,
             self._get_limits,
--- a/packages/ragworthollow/src/ragworthollow/transport/load_report.py
+++ b/packages/ragworthollow/src/ragworthollow/transport/load_report.py
@@ -1,4 +1,4 @@
-"""Define the load that every answer carries."""
+"""Define the load report that every answer includes."""
 
 from ragworthollow.utils.message import Message
 
@@ -10,11 +10,11 @@
     Attributes
     ----------
     running, waiting : int
-        Calls handed to the upstream and calls in the queue.
+        Number of calls sent to the upstream and of calls in the queue.
     concurrency : int
-        Calls the upstream runs side by side.
+        Number of calls that the upstream runs concurrently.
     service_ms : float
-        Smoothed time one call takes once started.
+        Smoothed duration of a call in milliseconds, without queueing.
     leaving : bool
         Whether new work will be refused from now on.
     """
--- a/packages/ragworthollow/src/ragworthollow/transport/marked_body.py
+++ b/packages/ragworthollow/src/ragworthollow/transport/marked_body.py
@@ -1,4 +1,4 @@
-"""Know whether a request body was handed to the socket."""
+"""Track whether the sending of a request body has begun."""
 
 from aiohttp.abc import AbstractStreamWriter
 from aiohttp.payload import BytesPayload
@@ -6,15 +6,15 @@
 
 class MarkedBody(BytesPayload):
     """
-    Send bytes and note that sending has begun.
+    Send a request body and record that sending has begun.
 
-    A connection that breaks before is provably without effect, whatever the
-    error is called; afterwards the call may have run.
+    If the connection breaks before that, the call provably had no effect,
+    whatever the error type; afterwards the call may have run.
 
     Parameters
     ----------
     body : bytes
-        JSON.
+        Body as JSON.
     """
 
     def __init__(self, body: bytes) -> None:
@@ -22,7 +22,7 @@
         self.started = False
 
     async def write(self, writer: AbstractStreamWriter) -> None:
-        """Send the whole body."""
+        """Send the complete body."""
         self.started = True
         await super().write(writer)
 
@@ -31,6 +31,6 @@
         writer: AbstractStreamWriter,
         content_length: int | None,
     ) -> None:
-        """Send the body up to a length."""
+        """Send the body up to the given length."""
         self.started = True
         await super().write_with_length(writer, content_length)
--- a/packages/ragworthollow/src/ragworthollow/transport/once_key.py
+++ b/packages/ragworthollow/src/ragworthollow/transport/once_key.py
@@ -10,14 +10,14 @@
     Attributes
     ----------
     key : str
-        Organisation, pipeline and idempotency key in one.
+        Organisation, pipeline and idempotency key, joined by slashes.
     born_ms : int
-        Time of birth of the idempotency key, Unix epoch.
+        Creation time of the idempotency key, in Unix milliseconds.
     fresh : bool
-        True only when this very call is the first in which anybody sees the
-        key: its entry has just made it.
+        Whether the entry has just generated the key, so that no other
+        request can have used it.
     fingerprint : str
-        Hash of the request body; a key used for another body is an error.
+        Hash of the inputs; reusing a key with other inputs is an error.
     """
 
     key: str
--- a/packages/ragworthollow/src/ragworthollow/transport/piece_messages.py
+++ b/packages/ragworthollow/src/ragworthollow/transport/piece_messages.py
@@ -1,4 +1,4 @@
-"""Define what gateways say to each other about pieces."""
+"""Define the messages between gateways about pieces."""
 
 import math
 
@@ -10,26 +10,26 @@
 
 class PieceRequest(Message):
     """
-    Ask for one piece.
+    Request one piece.
 
-    Times are relative, since no two processes share a monotonic clock.
+    Times are relative, since processes do not share a monotonic clock.
 
     Attributes
     ----------
     request_id, position, number, key, inputs : various
         As in `Piece`.
     due_in_ms, give_up_in_ms, expires_in_ms : float
-        From now; negative when the moment has passed.
+        Milliseconds from now; negative if the time has passed.
     result_bytes : int
         Approximate size of the result.
     failure_domain : str
-        Where the result will be read.
+        Failure domain where the result will be read.
     priority : int
-        Rank of the request, 0 first.
+        Priority of the request; 0 is served first.
     fingerprint : str
-        The same for each try of the same work.
+        Identifies the work; the same for each attempt at it.
     homes : tuple of str or None
-        Regions in which it may be made; None for any.
+        Allowed regions for producing the result; None for any region.
     """
 
     request_id: str
@@ -48,7 +48,7 @@
 
 
 class PieceResultMessage(Message):
-    """Tell what became of a piece, as `PieceResult` does."""
+    """Report the result of a piece; the wire form of `PieceResult`."""
 
     outcome: PieceOutcome
     handle: str = ''
@@ -57,16 +57,16 @@
 
 class PiecesOrder(Message):
     """
-    Ask the gate of a pool for pieces of one stage of one request.
+    Request pieces of one stage of one request from a pool's scheduler.
 
     Attributes
     ----------
     pool : str
-        Pool of the gate.
+        Pool of the scheduler.
     asker : str
-        Incarnation of the gateway that asks.
-    orders : tuple of PieceOrder
-        One for each piece.
+        Incarnation of the requesting gateway.
+    orders : tuple of PieceRequest
+        One request for each piece.
     """
 
     pool: str
@@ -75,24 +75,25 @@
 
 
 class PiecesResponse(Message):
-    """Answer with results in the order of the pieces."""
+    """Return the results in the order of the pieces."""
 
     results: tuple[PieceResultMessage, ...]
 
 
 class ResultsRelease(Message):
     """
-    Give results of a pool up, whichever gates had them made.
+    Release results of a pool, whichever schedulers requested them.
 
     Attributes
     ----------
     pool : str
-        Pool that made them.
+        Pool that produced the results.
     handles : tuple of str
-        Their names.
+        Handles of the results.
     is_forwarded : bool
-        Whether a gateway that does not host the gate has passed it on; two
-        that take each other for the host must not do so for ever.
+        Whether a gateway that does not host the scheduler has forwarded the
+        message. Two gateways that regard each other as the host must not
+        forward it back and forth endlessly.
     """
 
     pool: str
@@ -101,7 +102,7 @@
 
 
 class KeptResultMessage(Message):
-    """Tell of a result that takes space, as `KeptResult` does."""
+    """Describe a result that takes space; wire form of `KeptResult`."""
 
     handle: str
     instance: str
@@ -111,7 +112,7 @@
 
 
 class ForeignCallMessage(Message):
-    """Tell of a call that is worked on, as `ForeignCall` does."""
+    """Describe a call in progress; the wire form of `ForeignCall`."""
 
     instance: str
     result_bytes: int
@@ -119,17 +120,17 @@
 
 class GateTransfer(Message):
     """
-    Tell the host of a gate what another one of the pool has in hand.
+    Send the host of a scheduler the work in progress of another one.
 
     Attributes
     ----------
     pool : str
-        Pool of both gates.
+        Pool of both schedulers.
     source : str
-        Who tells.
+        Sender of the transfer.
     calls : tuple of ForeignCallMessage or None
-        All calls that instances still work on; None when nothing is said of
-        calls.
+        All calls that instances still process; None when the message does
+        not cover calls.
     kept : tuple of KeptResultMessage
         Results that take space.
     """
@@ -145,7 +146,7 @@
     pieces: tuple[Piece, ...],
     now_ms: float,
 ) -> bytes:
-    """Encode pieces for a host whose clock is another."""
+    """Encode pieces for a host with a different monotonic clock."""
     return msgspec.json.encode(
         PiecesOrder(
             pool=pool,
@@ -173,57 +174,57 @@
 
 
 def decode_pieces(order: PiecesOrder, now_ms: float) -> tuple[Piece, ...]:
-    """Decode pieces onto this process's clock."""
+    """Decode pieces, with times on this process's monotonic clock."""
     return tuple(
         Piece(
-            request_id=one.request_id,
-            position=one.position,
-            number=one.number,
-            key=one.key,
-            inputs=one.inputs,
-            due_ms=now_ms + one.due_in_ms,
-            give_up_ms=now_ms + one.give_up_in_ms,
-            expires_ms=now_ms + one.expires_in_ms,
-            result_bytes=one.result_bytes,
-            failure_domain=one.failure_domain,
-            priority=one.priority,
-            fingerprint=one.fingerprint,
-            homes=None if one.homes is None else frozenset(one.homes),
+            request_id=request.request_id,
+            position=request.position,
+            number=request.number,
+            key=request.key,
+            inputs=request.inputs,
+            due_ms=now_ms + request.due_in_ms,
+            give_up_ms=now_ms + request.give_up_in_ms,
+            expires_ms=now_ms + request.expires_in_ms,
+            result_bytes=request.result_bytes,
+            failure_domain=request.failure_domain,
+            priority=request.priority,
+            fingerprint=request.fingerprint,
+            homes=None if request.homes is None else frozenset(request.homes),
             asker=order.asker,
         )
-        for one in order.orders
+        for request in order.orders
     )
 
 
 def encode_results(results: tuple[PieceResult, ...]) -> PiecesResponse:
-    """Make the answer to a gateway."""
+    """Encode results as the response to a gateway."""
     return PiecesResponse(
         results=tuple(
             PieceResultMessage(
-                outcome=one.outcome,
-                handle=one.handle,
-                wait_ms=one.wait_ms if math.isfinite(one.wait_ms) else None,
+                outcome=piece.outcome,
+                handle=piece.handle,
+                wait_ms=piece.wait_ms if math.isfinite(piece.wait_ms) else None,
             )
-            for one in results
+            for piece in results
         ),
     )
 
 
 def decode_results(text: bytes) -> tuple[PieceResult, ...]:
     """
-    Decode a host's answer.
+    Decode the response of a host.
 
     Raises
     ------
     msgspec.DecodeError
-        The bytes are no such answer.
+        The bytes are not a valid response.
     """
-    answer = msgspec.json.decode(text, type=PiecesResponse)
+    response = msgspec.json.decode(text, type=PiecesResponse)
     return tuple(
         PieceResult(
-            outcome=one.outcome,
-            handle=one.handle,
-            wait_ms=math.inf if one.wait_ms is None else one.wait_ms,
+            outcome=message.outcome,
+            handle=message.handle,
+            wait_ms=math.inf if message.wait_ms is None else message.wait_ms,
         )
-        for one in answer.results
+        for message in response.results
     )
--- a/packages/ragworthollow/src/ragworthollow/transport/responses.py
+++ b/packages/ragworthollow/src/ragworthollow/transport/responses.py
@@ -1,4 +1,4 @@
-"""Build HTTP responses out of typed messages."""
+"""Build HTTP responses from typed messages."""
 
 import msgspec
 from aiohttp import web
@@ -15,14 +15,14 @@
     Parameters
     ----------
     message : object
-        Typed message.
+        Message to encode.
     status : int
         HTTP status code.
 
     Returns
     -------
     Response
-        With content type `application/json`.
+        Response with content type `application/json`.
     """
     return web.Response(
         body=msgspec.json.encode(message),
@@ -33,12 +33,12 @@
 
 class Problem(Message):
     """
-    Answer a call between processes that cannot be served.
+    Report why a call between processes cannot be served.
 
     Attributes
     ----------
     error : str
-        One sentence.
+        Explanation in one sentence.
     """
 
     error: str
--- a/packages/ragworthollow/src/ragworthollow/transport/session.py
+++ b/packages/ragworthollow/src/ragworthollow/transport/session.py
@@ -1,4 +1,4 @@
-"""Make the HTTP session for calls to other processes."""
+"""Create the HTTP sessions of a process."""
 
 import aiohttp
 
@@ -10,17 +10,17 @@
 
 def make_session(cluster_key: str) -> aiohttp.ClientSession:
     """
-    Make a session that authenticates itself.
+    Create a session that sends the cluster key.
 
     Parameters
     ----------
     cluster_key : str
-        Secret of the deployment.
+        Shared secret of the deployment.
 
     Returns
     -------
     ClientSession
-        To be closed by the caller.
+        Session that the caller must close.
     """
     return aiohttp.ClientSession(
         connector=aiohttp.TCPConnector(
@@ -37,12 +37,12 @@
 
 def make_plain_session() -> aiohttp.ClientSession:
     """
-    Make a session for the platform and upstreams, without our secret.
+    Create a session for the platform and upstreams, without the key.
 
     Returns
     -------
     ClientSession
-        To be closed by the caller.
+        Session that the caller must close.
     """
     return aiohttp.ClientSession(
         connector=aiohttp.TCPConnector(limit=0, use_dns_cache=False),
--- a/packages/ragworthollow/src/ragworthollow/transport/stage_answer.py
+++ b/packages/ragworthollow/src/ragworthollow/transport/stage_answer.py
@@ -10,12 +10,12 @@
 
 class StageAnswer(Message):
     """
-    Answer one attempt.
+    Answer one attempt at a stage.
 
     Attributes
     ----------
     request_id, stage, attempt
-        Echoed from the call; an answer that does not match is dropped.
+        Echoed from the call; an answer that does not match is rejected.
     outcome : Outcome
         How the attempt ended.
     output : Raw
@@ -25,13 +25,14 @@
     load : LoadReport
         Load at the time of the answer.
     busy_ms : float
-        Time the upstream spent on this attempt.
+        Milliseconds that the upstream spent on this attempt.
     replayed : bool
-        Whether the result was kept from an earlier attempt of the same key.
+        Whether the result was stored by an earlier attempt with the same
+        key.
     earlier : dict
         Outputs of earlier stages that belong to a replayed result.
     generation : int
-        Configuration generation in force at the sidecar.
+        Active configuration generation of the sidecar.
     """
 
     request_id: str
@@ -57,27 +58,27 @@
     retry_after_ms: int | None = None,
 ) -> StageAnswer:
     """
-    Make the answer for an attempt without a whole result.
+    Build the answer to an attempt without a complete result.
 
     Parameters
     ----------
     call : StageCall
-        The attempt.
+        Call of the attempt.
     outcome : Outcome
-        What is known about its effect.
+        What is known about the effect of the attempt.
     reason : Reason
-        Why.
+        Reason code.
     peer : str
-        Instance at which it arose.
+        Instance at which the refusal arose.
     detail : str
-        One sentence for a person.
+        Human-readable explanation in one sentence.
     retry_after_ms : int or None
-        When coming back helps.
+        Milliseconds after which a retry may succeed.
 
     Returns
     -------
     StageAnswer
-        Carries a refusal with the step and the peer.
+        Answer with a refusal that names the step and the peer.
     """
     return StageAnswer(
         request_id=call.request_id,
--- a/packages/ragworthollow/src/ragworthollow/transport/stage_call.py
+++ b/packages/ragworthollow/src/ragworthollow/transport/stage_call.py
@@ -1,4 +1,4 @@
-"""Define a call of one stage from an entry to a sidecar."""
+"""Define the call by which an entry runs a stage on a sidecar."""
 
 import msgspec
 
@@ -9,7 +9,7 @@
 
 class StageCall(Message):
     """
-    Ask a sidecar to run one stage on its upstream.
+    Request that a sidecar run one stage on its upstream.
 
     Attributes
     ----------
@@ -20,13 +20,14 @@
     attempt : int
         Number of this attempt; the answer echoes it.
     remaining_ms : float
-        Time left, a duration, so that clocks need not agree.
+        Milliseconds until the deadline; a duration, so that clocks need not
+        agree.
     organisation, pipeline : str
-        Whose work it is.
+        Organisation of the caller and name of the pipeline.
     kind : StageKind
-        What is asked of the upstream.
+        Kind of work for the upstream.
     pool : str
-        Pool the caller believes the sidecar belongs to.
+        Pool that the sidecar belongs to, as known to the entry.
     operation, model, adapter : str
         Parameters of plain and generating stages.
     max_tokens, resume_offset : int
@@ -34,11 +35,12 @@
     worth : float
         Worth of the request.
     cost_ms : float
-        Estimated busy time that this and all later stages still take.
+        Estimated milliseconds that this and all later stages take.
     once : OnceKey or None
         Present when the stage may run at most once.
     earlier : dict
-        Outputs so far, kept with a non-repeatable call's result.
+        Outputs of earlier stages, stored with the result of a
+        non-repeatable call.
     payload : Raw
         Input of the stage as JSON.
     """
--- a/packages/ragworthollow/src/ragworthollow/transport/stream_line.py
+++ b/packages/ragworthollow/src/ragworthollow/transport/stream_line.py
@@ -8,7 +8,7 @@
     """
     Carry a token or the closing answer.
 
-    A stream without a closing answer is truncated and never passed off as
+    A stream without a closing answer is truncated and must not be treated as
     complete.
 
     Attributes
--- a/packages/ragworthollow/src/ragworthollow/transport/timeouts.py
+++ b/packages/ragworthollow/src/ragworthollow/transport/timeouts.py
@@ -1,4 +1,4 @@
-"""Make timeouts for exchanges between processes."""
+"""Build timeouts for exchanges between processes."""
 
 import aiohttp
 
@@ -12,26 +12,27 @@
     wait_ms: float = 0,
 ) -> aiohttp.ClientTimeout:
     """
-    Make a timeout for an answer that may be large.
+    Build a timeout for a response that may be large.
 
-    A limit for the whole exchange says nothing of an answer whose size others
-    choose: behind a link of 5 Mbit/s, 350 KB take 560 ms.  A limit below that
-    ends each try in the middle, the next one begins anew, and what was asked
-    for never arrives.  Bytes that come show that the peer lives and that the
-    connection works, so that only their absence counts.
+    A limit for the whole exchange does not fit a response of unknown size:
+    over a link of 5 Mbit/s, 350 KB take 560 ms. With a shorter limit each
+    attempt is aborted midway and the next one starts over, so that the
+    response never arrives. Incoming bytes show that the peer is alive and
+    the connection works, so that only their absence counts.
 
     Parameters
     ----------
     silence_ms : float
-        Milliseconds without any byte after which the peer or the connection
-        counts as lost.
+        Milliseconds without any received byte after which the peer or the
+        connection counts as lost.
     wait_ms : float
-        Milliseconds for which the peer may hold the question.
+        Milliseconds for which the peer may delay its response, as in a long
+        poll.
 
     Returns
     -------
     ClientTimeout
-        With `EXCHANGE_LIMIT_MS` for all of it.
+        Timeout with a total of `EXCHANGE_LIMIT_MS` plus `wait_ms`.
     """
     return aiohttp.ClientTimeout(
         total=(global_settings.EXCHANGE_LIMIT_MS + wait_ms) / _MILLISECONDS,
@@ -42,14 +43,14 @@
 
 def make_timeout(total_ms: float, connect_ms: float) -> aiohttp.ClientTimeout:
     """
-    Make a timeout for a whole exchange.
+    Build a timeout for a complete exchange.
 
     Parameters
     ----------
     total_ms : float
-        Milliseconds from the first byte to the last.
+        Milliseconds for the whole exchange, connecting included.
     connect_ms : float
-        Milliseconds until the connection stands.
+        Milliseconds for establishing the connection.
     """
     return aiohttp.ClientTimeout(
         total=total_ms / 1000,
