--- a/packages/ragworthollow-daemon/src/ragworthollow_daemon/entry/stage_runner.py
+++ b/packages/ragworthollow-daemon/src/ragworthollow_daemon/entry/stage_runner.py
@@ -102,7 +102,7 @@
         now_ms = get_monotonic_ms()
         if answer.outcome is Outcome.done and not answer.replayed:
             elapsed_ms = now_ms - started_ms
-            self._estimates.record(work.get_key(), elapsed_ms, now_ms)
+            self._estimates.record(work.get_estimate_key(), elapsed_ms, now_ms)
         return answer
 
     async def _choose(self, work: StageWork) -> PeerState | None:
@@ -254,7 +254,7 @@
         if not work.stage.repeatable:
             return remaining_ms
         estimated_ms = self._estimates.get_ms(
-            work.get_key(), get_monotonic_ms()
+            work.get_estimate_key(), get_monotonic_ms()
         )
         if work.stage.kind is StageKind.generate:
             floor_ms = global_settings.STREAM_SILENCE_FLOOR_MS
@@ -266,7 +266,7 @@
 
     def _get_hedge_delay_ms(self, work: StageWork) -> float:
         estimated_ms = self._estimates.get_ms(
-            work.get_key(), get_monotonic_ms()
+            work.get_estimate_key(), get_monotonic_ms()
         )
         return max(
             estimated_ms * global_settings.HEDGE_QUANTILE_FACTOR,
--- a/packages/ragworthollow-daemon/src/ragworthollow_daemon/entry/stage_work.py
+++ b/packages/ragworthollow-daemon/src/ragworthollow_daemon/entry/stage_work.py
@@ -55,6 +55,6 @@
         """Return whether only the owner of the caller's key may run it."""
         return self.request.is_keyed() and not self.stage.repeatable
 
-    def get_key(self) -> str:
+    def get_estimate_key(self) -> str:
         """Return the key under which estimates are stored."""
         return f'{self.request.pipeline_name}/{self.stage.name}'
--- a/packages/ragworthollow/src/ragworthollow/transport/piece_messages.py
+++ b/packages/ragworthollow/src/ragworthollow/transport/piece_messages.py
@@ -173,7 +173,7 @@
     )
 
 
-def decode_pieces(order: PiecesOrder, now_ms: float) -> tuple[Piece, ...]:
+def decode_pieces(message: PiecesOrder, now_ms: float) -> tuple[Piece, ...]:
     """Decode pieces, with times on this process's monotonic clock."""
     return tuple(
         Piece(
@@ -190,9 +190,9 @@
             priority=request.priority,
             fingerprint=request.fingerprint,
             homes=None if request.homes is None else frozenset(request.homes),
-            asker=order.asker,
+            asker=message.asker,
         )
-        for request in order.orders
+        for request in message.orders
     )
 
 
