--- a/packages/ragworthollow-daemon/src/ragworthollow_daemon/entry/operator_routes.py
+++ b/packages/ragworthollow-daemon/src/ragworthollow_daemon/entry/operator_routes.py
@@ -62,7 +62,7 @@
 
     async def change(self, request: web.Request) -> web.Response:
         """Apply one configuration change."""
-        operator = self._identify(request)
+        operator = self._authenticate(request)
         if operator is None:
             return _refuse_unauthenticated()
         request = request.clone(client_max_size=_MAX_CHANGE_BYTES)
@@ -95,7 +95,7 @@
 
     async def get_snapshot(self, request: web.Request) -> web.Response:
         """Show the active generation with other owners' key hashes redacted."""
-        operator = self._identify(request)
+        operator = self._authenticate(request)
         if operator is None:
             return _refuse_unauthenticated()
         snapshot = self._context.store.get_snapshot(0)
@@ -112,7 +112,7 @@
 
     async def get_fleet(self, request: web.Request) -> web.Response:
         """Show the active generation of every listed process."""
-        if self._identify(request) is None:
+        if self._authenticate(request) is None:
             return _refuse_unauthenticated()
         statuses = await asyncio.gather(
             *(
@@ -122,7 +122,7 @@
         )
         return respond(statuses)
 
-    def _identify(self, request: web.Request) -> str | None:
+    def _authenticate(self, request: web.Request) -> str | None:
         presented = hash_secret(request.headers.get(OPERATOR_HEADER, ''))
         for operator in self._context.settings.operators:
             if hmac.compare_digest(presented, operator.key_sha256):
@@ -146,10 +146,13 @@
         )
         watchers = self._context.peers.get_all_watchers()
         await asyncio.gather(
-            *(self._push(watcher.address, message) for watcher in watchers),
+            *(
+                self._send_announcement(watcher.address, message)
+                for watcher in watchers
+            ),
         )
 
-    async def _push(self, address: str, message: bytes) -> None:
+    async def _send_announcement(self, address: str, message: bytes) -> None:
         try:
             await self._context.session.post(
                 f'http://{address}/v1/configuration/announcements',
--- a/packages/ragworthollow-daemon/src/ragworthollow_daemon/entry/request_validator.py
+++ b/packages/ragworthollow-daemon/src/ragworthollow_daemon/entry/request_validator.py
@@ -23,10 +23,10 @@
 from ragworthollow_daemon.entry.messages import PipelineRequest
 
 _STEP = 'door'
-_SCHEME = 'Bearer '
+_BEARER_PREFIX = 'Bearer '
 _NOT_CONFIGURED_RETRY_MS = 1000
 
-_Checked = Result[AdmittedRequest, Refusal]
+_ValidationResult = Result[AdmittedRequest, Refusal]
 
 
 class RequestValidator:
@@ -45,7 +45,7 @@
         self._instance = instance
         self._store = store
 
-    async def admit(self, request: web.Request) -> _Checked:
+    async def admit(self, request: web.Request) -> _ValidationResult:
         """
         Validate one request.
 
@@ -66,7 +66,7 @@
                 'this entry has no configuration yet',
                 retry_after_ms=_NOT_CONFIGURED_RETRY_MS,
             )
-        organisation = self._identify(request.headers)
+        organisation = self._authenticate(request.headers)
         if organisation is None:
             return self._refuse(
                 Reason.unauthorized,
@@ -88,8 +88,8 @@
         refusal = self._check_deadline(body.deadline_ms, pipeline)
         if refusal is not None:
             return Err(refusal)
-        return self._identify_once(request.headers, body, pipeline).map(
-            lambda once: self._assemble(
+        return self._make_once_key(request.headers, body, pipeline).map(
+            lambda once: self._make_admitted_request(
                 organisation,
                 name,
                 pipeline,
@@ -98,11 +98,11 @@
             ),
         )
 
-    def _identify(self, headers: Mapping[str, str]) -> str | None:
+    def _authenticate(self, headers: Mapping[str, str]) -> str | None:
         presented = headers.get('Authorization', '')
-        if not presented.startswith(_SCHEME):
+        if not presented.startswith(_BEARER_PREFIX):
             return None
-        secret = presented.removeprefix(_SCHEME)
+        secret = presented.removeprefix(_BEARER_PREFIX)
         return self._store.get_organisation(hash_secret(secret))
 
     async def _parse(
@@ -138,7 +138,7 @@
             )
         return None
 
-    def _identify_once(
+    def _make_once_key(
         self,
         headers: Mapping[str, str],
         body: PipelineRequest,
@@ -146,7 +146,7 @@
     ) -> Result[OnceKey | None, Refusal]:
         chosen = headers.get('Idempotency-Key')
         if chosen is not None:
-            refusal = self._check_key(chosen)
+            refusal = self._check_idempotency_key(chosen)
             if refusal is not None:
                 return Err(refusal)
         if not pipeline.has_non_repeatable():
@@ -157,11 +157,11 @@
                 key=key.lower(),
                 born_ms=get_birth_ms(key) or 0,
                 fresh=chosen is None,
-                fingerprint=_fingerprint(body),
+                fingerprint=_hash_inputs(body),
             ),
         )
 
-    def _check_key(self, key: str) -> Refusal | None:
+    def _check_idempotency_key(self, key: str) -> Refusal | None:
         born_ms = get_birth_ms(key)
         if born_ms is None:
             return self._make_refusal(
@@ -183,7 +183,7 @@
             )
         return None
 
-    def _assemble(
+    def _make_admitted_request(
         self,
         organisation: str,
         name: str,
@@ -198,7 +198,7 @@
                 once,
                 key=f'{organisation}/{name}/{once.key}',
             )
-        declared = self._store.deployment.organisations[organisation]
+        organisation_config = self._store.deployment.organisations[organisation]
         return AdmittedRequest(
             request_id=make_identifier(),
             organisation=organisation,
@@ -206,7 +206,7 @@
             pipeline=pipeline,
             deadline_ms=get_monotonic_ms() + body.deadline_ms,
             inputs=body.inputs,
-            worth=declared.worth * pipeline.worth,
+            worth=organisation_config.worth * pipeline.worth,
             once=once,
             is_stream=body.stream,
         )
@@ -240,7 +240,7 @@
         )
 
 
-def _fingerprint(body: PipelineRequest) -> str:
+def _hash_inputs(body: PipelineRequest) -> str:
     """Hash the inputs to detect a key reused for another request."""
     digest = xxhash.xxh64()
     for name, stage_input in sorted(body.inputs.items()):
