--- a/packages/ragworthollow-daemon/src/ragworthollow_daemon/entry/door.py
+++ b/packages/ragworthollow-daemon/src/ragworthollow_daemon/entry/request_validator.py
@@ -1,4 +1,4 @@
-"""Check what callers send before anything runs."""
+"""Validate callers' requests before any stage runs."""
 
 from collections.abc import Mapping
 
@@ -23,41 +23,42 @@
 from ragworthollow_daemon.entry.messages import PipelineRequest
 
 _STEP = 'door'
-_SCHEME = 'Bearer '
+_BEARER_PREFIX = 'Bearer '
 _NOT_CONFIGURED_RETRY_MS = 1000
 
-_Checked = Result[AdmittedRequest, Refusal]
+_ValidationResult = Result[AdmittedRequest, Refusal]
 
 
-class Door:
+class RequestValidator:
     """
-    Turn HTTP requests into admitted ones.
+    Validate HTTP requests and convert them to admitted requests.
 
     Parameters
     ----------
     instance : str
-        Name of this entry, the peer of every refusal made here.
+        Name of this entry, reported as the peer of every refusal.
     store : ConfigurationStore
-        Configuration in force.
+        Active configuration.
     """
 
     def __init__(self, *, instance: str, store: ConfigurationStore) -> None:
         self._instance = instance
         self._store = store
 
-    async def admit(self, request: web.Request) -> _Checked:
+    async def admit(self, request: web.Request) -> _ValidationResult:
         """
-        Check one request.
+        Validate one request.
 
         Parameters
         ----------
         request : Request
-            As received.
+            HTTP request as received.
 
         Returns
         -------
         Result
-            The request, or a refusal with outcome `not_run`.
+            The admitted request, or a refusal. Its outcome is `not_run`,
+            or `unknown` for a key too old to tell whether it has run.
         """
         if not self._store.generation:
             return self._refuse(
@@ -65,7 +66,7 @@
                 'this entry has no configuration yet',
                 retry_after_ms=_NOT_CONFIGURED_RETRY_MS,
             )
-        organisation = self._identify(request.headers)
+        organisation = self._authenticate(request.headers)
         if organisation is None:
             return self._refuse(
                 Reason.unauthorized,
@@ -74,7 +75,8 @@
         name = request.match_info['pipeline']
         pipeline = self._store.deployment.pipelines.get(name)
         if pipeline is None or organisation not in pipeline.organisations:
-            # The same words for both: nobody learns of others' pipelines.
+            # Both cases get the same message, so that a caller cannot find
+            # out which pipelines other organisations have.
             return self._refuse(
                 Reason.unknown_pipeline,
                 'no such pipeline for this key',
@@ -86,8 +88,8 @@
         refusal = self._check_deadline(body.deadline_ms, pipeline)
         if refusal is not None:
             return Err(refusal)
-        return self._identify_once(request.headers, body, pipeline).map(
-            lambda once: self._assemble(
+        return self._make_once_key(request.headers, body, pipeline).map(
+            lambda once: self._make_admitted_request(
                 organisation,
                 name,
                 pipeline,
@@ -96,11 +98,11 @@
             ),
         )
 
-    def _identify(self, headers: Mapping[str, str]) -> str | None:
+    def _authenticate(self, headers: Mapping[str, str]) -> str | None:
         presented = headers.get('Authorization', '')
-        if not presented.startswith(_SCHEME):
+        if not presented.startswith(_BEARER_PREFIX):
             return None
-        secret = presented.removeprefix(_SCHEME)
+        secret = presented.removeprefix(_BEARER_PREFIX)
         return self._store.get_organisation(hash_secret(secret))
 
     async def _parse(
@@ -136,7 +138,7 @@
             )
         return None
 
-    def _identify_once(
+    def _make_once_key(
         self,
         headers: Mapping[str, str],
         body: PipelineRequest,
@@ -144,7 +146,7 @@
     ) -> Result[OnceKey | None, Refusal]:
         chosen = headers.get('Idempotency-Key')
         if chosen is not None:
-            refusal = self._check_key(chosen)
+            refusal = self._check_idempotency_key(chosen)
             if refusal is not None:
                 return Err(refusal)
         if not pipeline.has_non_repeatable():
@@ -155,11 +157,11 @@
                 key=key.lower(),
                 born_ms=get_birth_ms(key) or 0,
                 fresh=chosen is None,
-                fingerprint=_fingerprint(body),
+                fingerprint=_hash_inputs(body),
             ),
         )
 
-    def _check_key(self, key: str) -> Refusal | None:
+    def _check_idempotency_key(self, key: str) -> Refusal | None:
         born_ms = get_birth_ms(key)
         if born_ms is None:
             return self._make_refusal(
@@ -181,7 +183,7 @@
             )
         return None
 
-    def _assemble(
+    def _make_admitted_request(
         self,
         organisation: str,
         name: str,
@@ -190,12 +192,13 @@
         once: OnceKey | None,
     ) -> AdmittedRequest:
         if once is not None:
-            # Keys of different organisations and pipelines never meet.
+            # The prefix keeps keys of different organisations and pipelines
+            # from colliding.
             once = msgspec.structs.replace(
                 once,
                 key=f'{organisation}/{name}/{once.key}',
             )
-        declared = self._store.deployment.organisations[organisation]
+        organisation_config = self._store.deployment.organisations[organisation]
         return AdmittedRequest(
             request_id=make_identifier(),
             organisation=organisation,
@@ -203,7 +206,7 @@
             pipeline=pipeline,
             deadline_ms=get_monotonic_ms() + body.deadline_ms,
             inputs=body.inputs,
-            worth=declared.worth * pipeline.worth,
+            worth=organisation_config.worth * pipeline.worth,
             once=once,
             is_stream=body.stream,
         )
@@ -237,8 +240,8 @@
         )
 
 
-def _fingerprint(body: PipelineRequest) -> str:
-    """Hash the inputs, so that a key cannot be reused for another request."""
+def _hash_inputs(body: PipelineRequest) -> str:
+    """Hash the inputs to detect a key reused for another request."""
     digest = xxhash.xxh64()
     for name, stage_input in sorted(body.inputs.items()):
         digest.update(name.encode())
