--- a/packages/ragworthollow-daemon/src/ragworthollow_daemon/sidecar/__init__.py
+++ b/packages/ragworthollow-daemon/src/ragworthollow_daemon/sidecar/__init__.py
@@ -1,1 +1,1 @@
-"""Guard one upstream instance."""
+"""Run stage calls on the upstream instance next to this process."""
--- a/packages/ragworthollow-daemon/src/ragworthollow_daemon/sidecar/member_client.py
+++ b/packages/ragworthollow-daemon/src/ragworthollow_daemon/sidecar/member_client.py
@@ -1,4 +1,4 @@
-"""Talk to the other members of the pool."""
+"""Send requests to the other members of the pool."""
 
 import aiohttp
 import msgspec
@@ -6,8 +6,8 @@
 from ragworthollow.conf import global_settings
 from ragworthollow.once.assignment import Member
 from ragworthollow.once.peer_messages import (
-    MemberQuestion,
     MemberReply,
+    MemberRequest,
     RecordTransfer,
 )
 from ragworthollow.utils.message import Message
@@ -16,39 +16,39 @@
 
 class MemberClient:
     """
-    Ask other members.
+    Send requests to other members over HTTP.
 
     Parameters
     ----------
     session : aiohttp.ClientSession
-        Authenticated session.
+        Session that authenticates this process.
     """
 
     def __init__(self, *, session: aiohttp.ClientSession) -> None:
         self._session = session
 
-    async def ask_promise(
+    async def request_promise(
         self,
         member: Member,
-        question: MemberQuestion,
+        request: MemberRequest,
     ) -> MemberReply | None:
-        """Ask a member not to take over; None when it is not reached."""
-        return await self._post(member.address, 'promises', question)
+        """Ask a member not to take over; return None if it is unreachable."""
+        return await self._post(member.address, 'promises', request)
 
     async def introduce(
         self,
         member: Member,
-        question: MemberQuestion,
+        request: MemberRequest,
     ) -> MemberReply | None:
-        """Ask a member to read a record that lists us."""
-        return await self._post(member.address, 'introductions', question)
+        """Ask a member to read an assignment that lists this process."""
+        return await self._post(member.address, 'introductions', request)
 
     async def send_records(
         self,
         address: str,
         transfer: RecordTransfer,
     ) -> MemberReply | None:
-        """Hand records over."""
+        """Transfer key records; return None if the member is unreachable."""
         return await self._post(address, 'records', transfer)
 
     async def _post(
--- a/packages/ragworthollow-daemon/src/ragworthollow_daemon/sidecar/member_lease.py
+++ b/packages/ragworthollow-daemon/src/ragworthollow_daemon/sidecar/member_lease.py
@@ -1,4 +1,4 @@
-"""Keep this sidecar's leased member key."""
+"""Maintain a key that is bound to a lease of this sidecar."""
 
 import msgspec
 from result import Err, Ok, Result
@@ -12,16 +12,16 @@
 
 class MemberLease:
     """
-    Hold a lease and the key that dies with it.
+    Hold a lease and the key that is deleted when the lease expires.
 
     Parameters
     ----------
     key_value : StoreClient
-        The platform's service.
+        Client of the platform's key-value store.
     key : str
-        Our member key.
+        Key that is bound to the lease.
     ttl_ms : int
-        Time to live.
+        Time to live of the lease.
     """
 
     def __init__(
@@ -35,9 +35,9 @@
         self.lease = 0
 
     def is_due(self, now_ms: float) -> bool:
-        """Tell whether it is time to renew."""
-        pace_ms = self._ttl_ms / global_settings.RENEWALS_PER_LEASE
-        return not self.lease or now_ms - self.renewed_ms >= pace_ms
+        """Return whether the lease has to be acquired or renewed."""
+        interval_ms = self._ttl_ms / global_settings.RENEWALS_PER_LEASE
+        return not self.lease or now_ms - self.renewed_ms >= interval_ms
 
     async def renew(self) -> Result[bool, PlatformError]:
         """
@@ -46,7 +46,7 @@
         Returns
         -------
         Result
-            False when it has lapsed and its key with it.
+            False if the lease has expired and its key was deleted.
         """
         sent_ms = get_monotonic_ms()
         renewed = await self._key_value.renew_lease(self.lease)
@@ -62,39 +62,41 @@
     async def acquire(
         self,
         member: MemberKey,
-        found: Stored,
+        current: Stored,
         record: Compare,
     ) -> Result[bool, PlatformError]:
         """
-        Write the member key under a new lease.
+        Write the key under a new lease.
 
-        A key left by an earlier process of the same address may be
-        replaced: that process is dead, or we could not have bound its port.
+        A key left by an earlier process with the same address may be
+        replaced: that process has terminated, since this process could bind
+        its port.
 
         Parameters
         ----------
         member : MemberKey
-            What to write.
-        found : Stored
+            Value of the key.
+        current : Stored
             The key as last read.
         record : Compare
-            That the assignment is still the one last read.
+            Additional condition of the write, such as an unchanged
+            assignment.
 
         Returns
         -------
         Result
-            Whether the key is ours now.
+            Whether this process holds the key now.
         """
-        if found.text:
-            earlier = msgspec.json.decode(found.text, type=MemberKey)
-            if earlier.address != member.address:
+        if current.text:
+            previous = msgspec.json.decode(current.text, type=MemberKey)
+            if previous.address != member.address:
                 return Ok(False)
         sent_ms = get_monotonic_ms()
         granted = await self._key_value.grant_lease(self._ttl_ms)
         if isinstance(granted, Err):
             return granted
         lease = granted.ok_value
-        written = await self._put(member, lease, found, record)
+        written = await self._put(member, lease, current, record)
         if isinstance(written, Ok) and written.ok_value:
             self.lease = lease
             self._written = member
@@ -104,18 +106,18 @@
     async def update(
         self,
         member: MemberKey,
-        found: Stored,
+        current: Stored,
     ) -> Result[bool, PlatformError]:
-        """Change what the key says, if it does not say so yet."""
+        """Write the key if its value differs from the one last written."""
         if member == self._written:
             return Ok(True)
-        written = await self._put(member, self.lease, found)
+        written = await self._put(member, self.lease, current)
         if isinstance(written, Ok) and written.ok_value:
             self._written = member
         return written
 
     async def release(self) -> None:
-        """Give the lease back, so that nobody waits for it to lapse."""
+        """Revoke the lease, so that no process has to wait for its expiry."""
         if self.lease:
             await self._key_value.revoke_lease(self.lease)
             self.lease = 0
@@ -124,11 +126,11 @@
         self,
         member: MemberKey,
         lease: int,
-        found: Stored,
+        current: Stored,
         *more: Compare,
     ) -> Result[bool, PlatformError]:
         text = msgspec.json.encode(member).decode()
         return await self._key_value.commit(
-            compares=[compare_with(self._key, found), *more],
+            compares=[compare_with(self._key, current), *more],
             puts=[Put(key=self._key, text=text, lease=lease)],
         )
--- a/packages/ragworthollow-daemon/src/ragworthollow_daemon/sidecar/member_relations.py
+++ b/packages/ragworthollow-daemon/src/ragworthollow_daemon/sidecar/member_relations.py
@@ -1,4 +1,4 @@
-"""Obtain from other members what ownership needs."""
+"""Coordinate the ownership of key ranges with the other members."""
 
 import asyncio
 
@@ -17,18 +17,20 @@
 from ragworthollow_daemon.sidecar.record_reader import Members
 
 
-class MemberRelations:
+class MemberCoordinator:
     """
-    Collect promises while the platform is away, and introduce ourselves.
+    Request promises from other members and introduce this process.
+
+    Promises are needed only while the platform is unavailable.
 
     Parameters
     ----------
     context : ProcessContext
-        Of this process.
+        Context of this process.
     ownership : Ownership
-        Takes what members say.
-    clients : MemberClient
-        Calls members.
+        Updated from the replies of members.
+    client : MemberClient
+        Sends requests to members.
     """
 
     def __init__(
@@ -36,39 +38,39 @@
         *,
         context: ProcessContext,
         ownership: Ownership,
-        clients: MemberClient,
+        client: MemberClient,
     ) -> None:
         self._context = context
         self._ownership = ownership
-        self._clients = clients
+        self._client = client
         self._name = context.settings.instance
 
-    async def ask_promises(self) -> None:
-        """Go on without the platform while every other member allows it."""
+    async def request_promises(self) -> None:
+        """Prolong ownership by promises while the platform is unavailable."""
         now_ms = get_monotonic_ms()
         lease_ms = self._context.settings.lease_ttl_ms
-        left_ms = self._ownership.get_certain_until_ms() - now_ms
-        if left_ms > lease_ms / 2 or not self._ownership.owns_any():
+        remaining_ms = self._ownership.get_certain_until_ms() - now_ms
+        if remaining_ms > lease_ms / 2 or not self._ownership.owns_any():
             return
         replies = await asyncio.gather(
-            *(self._ask(member) for member in self._get_others()),
+            *(self._request_promise(member) for member in self._get_others()),
         )
         for reply in replies:
             if reply and take_reply(self._ownership, reply, now_ms):
                 self._context.metrics.count_event('promise_received')
 
-    async def _ask(self, member: Member) -> MemberReply | None:
-        question = make_question(self._ownership)
-        reply = await self._clients.ask_promise(member, question)
+    async def _request_promise(self, member: Member) -> MemberReply | None:
+        request = make_question(self._ownership)
+        reply = await self._client.request_promise(member, request)
         if reply is None:
             return None
-        again = show_record(self._ownership, question, reply)
-        if again is None:
+        retry = show_record(self._ownership, request, reply)
+        if retry is None:
             return reply
-        return await self._clients.ask_promise(member, again)
+        return await self._client.request_promise(member, retry)
 
     async def introduce(self, members: Members) -> None:
-        """Make sure that every live member has read a record with us in it."""
+        """Ensure that each live member has read an assignment listing us."""
         if self._ownership.get_own_member() is None:
             return
         for member in self._get_others():
@@ -78,27 +80,28 @@
 
     async def announce(self) -> None:
         """
-        Show every member the record that we have just written.
+        Send the assignment that was just written to every member.
 
-        A new owner would otherwise learn of its ranges at its next read,
-        and an old one that stops is gone by then: nobody could say who owns
-        them, and their keys would be answered as unknown.
+        Otherwise a new owner would learn of its ranges only at its next read.
+        If the old owner is shutting down, it has terminated by then: no
+        process would know who owns the ranges, and their keys would be
+        answered as unknown.
         """
-        question = msgspec.structs.replace(
+        request = msgspec.structs.replace(
             make_question(self._ownership),
             assignment=self._ownership.assignment,
         )
         await asyncio.gather(
             *(
-                self._clients.introduce(member, question)
+                self._client.introduce(member, request)
                 for member in self._get_others()
             ),
         )
 
     async def _introduce_to(self, member: Member) -> None:
-        question = make_question(self._ownership)
-        reply = await self._clients.introduce(member, question)
-        if reply is not None and reply.epoch >= question.epoch:
+        request = make_question(self._ownership)
+        reply = await self._client.introduce(member, request)
+        if reply is not None and reply.epoch >= request.epoch:
             self._ownership.note_known_by(member.instance)
 
     def _get_others(self) -> list[Member]:
--- a/packages/ragworthollow-daemon/src/ragworthollow_daemon/sidecar/once_agent.py
+++ b/packages/ragworthollow-daemon/src/ragworthollow_daemon/sidecar/once_agent.py
@@ -7,7 +7,7 @@
 
 from ragworthollow.conf import global_settings
 from ragworthollow.logs.events import log_event
-from ragworthollow.once import Ledger, Ownership
+from ragworthollow.once import KeyRegistry, Ownership
 from ragworthollow.once.peer_messages import RecordTransfer
 from ragworthollow.once.plan import Plan, Step, View
 from ragworthollow.once.planner import plan_step
@@ -15,7 +15,7 @@
 from ragworthollow.utils import get_monotonic_ms, get_wall_ms
 from ragworthollow_daemon.process_context import ProcessContext
 from ragworthollow_daemon.sidecar.member_client import MemberClient
-from ragworthollow_daemon.sidecar.member_relations import MemberRelations
+from ragworthollow_daemon.sidecar.member_relations import MemberCoordinator
 from ragworthollow_daemon.sidecar.record_reader import Members, RecordReader
 
 _MILLISECONDS = 1000
@@ -23,18 +23,18 @@
 
 class OnceAgent:
     """
-    Renew the lease, read the record and carry out one change at a time.
+    Renew the lease, read the assignment and apply one change at a time.
 
     Parameters
     ----------
     context : ProcessContext
-        Of this process.
+        Context of this process.
     ownership : Ownership
-        Decisions.
-    ledger : Ledger
-        Records, to be handed over with their ranges.
+        Decides which keys this process owns.
+    registry : KeyRegistry
+        Key records, which are transferred together with their ranges.
     pool : str
-        Pool whose assignment is kept.
+        Pool whose assignment is maintained.
     """
 
     def __init__(
@@ -42,52 +42,52 @@
         *,
         context: ProcessContext,
         ownership: Ownership,
-        ledger: Ledger,
+        registry: KeyRegistry,
         pool: str,
     ) -> None:
         self._context = context
         self._ownership = ownership
-        self._ledger = ledger
+        self._registry = registry
         self._name = context.settings.instance
-        self._clients = MemberClient(session=context.session)
+        self._client = MemberClient(session=context.session)
         self._reader = RecordReader(
             context=context,
             ownership=ownership,
             pool=pool,
         )
-        self._relations = MemberRelations(
+        self._coordinator = MemberCoordinator(
             context=context,
             ownership=ownership,
-            clients=self._clients,
+            client=self._client,
         )
-        self._unsettled: Compare | None = None
+        self._uncertain_write: Compare | None = None
         self._is_platform_up = True
         self._wake = asyncio.Event()
         self._lock = asyncio.Lock()
 
     async def step(self) -> None:
-        """Bring everything up to date once."""
+        """Renew the lease, read the assignment and apply at most one change."""
         async with self._lock:
             await self._step()
 
-    async def learn(self) -> None:
-        """Read the record again, since a member says that it has changed."""
+    async def refresh_assignment(self) -> None:
+        """Read the assignment again after a member reported a newer epoch."""
         await self._reader.read()
 
     async def leave(self, limit_ms: float) -> bool:
         """
-        Hand all ranges over and give the lease back.
+        Transfer all ranges to other members and release the lease.
 
         Parameters
         ----------
         limit_ms : float
-            Longest wait for the platform and the other members.
+            Maximum wait for the platform and the other members.
 
         Returns
         -------
         bool
-            False when ranges stay behind; their keys are answered as
-            unknown by the next owner.
+            False if some ranges were not transferred; the next owner answers
+            their keys as unknown.
         """
         end_ms = get_monotonic_ms() + limit_ms
         while self._ownership.owns_any() and get_monotonic_ms() < end_ms:
@@ -105,7 +105,7 @@
         return is_clean
 
     async def pause(self) -> None:
-        """Wait until there may be something to do."""
+        """Wait for the next interval or until a change was applied."""
         interval_ms = min(
             self._context.settings.lease_ttl_ms
             / global_settings.RENEWALS_PER_LEASE,
@@ -125,39 +125,40 @@
         self._is_platform_up = members is not None
         if members is None:
             self._context.metrics.count_event('platform_unavailable')
-            await self._relations.ask_promises()
+            await self._coordinator.request_promises()
             return
-        await self._relations.introduce(members)
+        await self._coordinator.introduce(members)
         plan = plan_step(self._ownership, self._get_view(members))
         if plan.step is not Step.nothing:
-            await self._carry_out(plan)
+            await self._execute(plan)
 
-    async def _carry_out(self, plan: Plan) -> None:
+    async def _execute(self, plan: Plan) -> None:
         if plan.step is Step.move:
-            await self._move(plan)
+            await self._move_ranges(plan)
         else:
             await self._commit(plan)
         self._wake.set()
 
-    async def _move(self, plan: Plan) -> None:
-        """Stop running keys of the ranges, hand them over, then let go."""
+    async def _move_ranges(self, plan: Plan) -> None:
+        """Stop running keys of the ranges and transfer their records first."""
         self._ownership.moving |= plan.ranges
-        if await self._hand_records(plan):
+        if await self._transfer_records(plan):
             await self._commit(plan)
-        elif not self._is_unsettled():
+        elif not self._has_uncertain_write():
             self._ownership.moving = frozenset()
 
-    def _is_unsettled(self) -> bool:
+    def _has_uncertain_write(self) -> bool:
         """
-        Tell whether a write of ours may still be on its way.
-
-        The answer to a write can be lost, and the write can take effect
-        even after a later read.  Only a changed record shows that it no
-        longer can, since it compares the revision.  Until then the ranges it
-        would move stay closed: a key run meanwhile would be missing in the
-        records that the next owner has been given.
+        Return whether an earlier write may still take effect.
+
+        The response to a write can be lost, and the write can take effect
+        even after a later read. Because the write compares the revision of
+        the assignment, only a changed assignment shows that it can no longer
+        apply. Until then the ranges that it would move stay closed: a key run
+        meanwhile would be missing from the records that were transferred to
+        the next owner.
         """
-        return self._unsettled == self._reader.compare_record()
+        return self._uncertain_write == self._reader.compare_record()
 
     async def _commit(self, plan: Plan) -> None:
         compares = [self._reader.compare_record()]
@@ -171,12 +172,12 @@
             puts=[Put(key=self._reader.record_key, text=text)],
         )
         if isinstance(written, Err):
-            self._unsettled = self._reader.compare_record()
+            self._uncertain_write = self._reader.compare_record()
         elif written.ok_value:
             self._report(plan)
             self._ownership.learn(plan.assignment)
-            await self._relations.announce()
-        elif not self._is_unsettled():
+            await self._coordinator.announce()
+        elif not self._has_uncertain_write():
             self._ownership.taking = ''
             self._ownership.moving = frozenset()
         await self._reader.read()
@@ -191,17 +192,17 @@
             ranges=len(plan.ranges),
         )
 
-    async def _hand_records(self, plan: Plan) -> bool:
-        if not await self._wait_idle(plan):
+    async def _transfer_records(self, plan: Plan) -> bool:
+        if not await self._wait_until_idle(plan):
             return False
         moved = plan.assignment.ranges[min(plan.ranges)]
         target = plan.assignment.get_member(plan.target)
         records = [
             record
             for index in plan.ranges
-            for record in self._ledger.get_range_records(index)
+            for record in self._registry.get_range_records(index)
         ]
-        reply = await self._clients.send_records(
+        reply = await self._client.send_records(
             target.address,
             RecordTransfer(
                 instance=self._name,
@@ -211,9 +212,9 @@
         )
         return reply is not None and reply.incarnation == moved.incarnation
 
-    async def _wait_idle(self, plan: Plan) -> bool:
+    async def _wait_until_idle(self, plan: Plan) -> bool:
         end_ms = get_monotonic_ms() + global_settings.MOVE_WAIT_MS
-        while any(map(self._ledger.has_running, plan.ranges)):
+        while any(map(self._registry.has_running, plan.ranges)):
             if get_monotonic_ms() >= end_ms:
                 return False
             await _sleep(global_settings.LEAVING_INTERVAL_MS)
--- a/packages/ragworthollow-daemon/src/ragworthollow_daemon/sidecar/once_gate.py
+++ b/packages/ragworthollow-daemon/src/ragworthollow_daemon/sidecar/once_gate.py
@@ -1,4 +1,4 @@
-"""Run keyed calls at most once."""
+"""Run calls with a once key at most once."""
 
 import asyncio
 from collections.abc import Awaitable, Callable
@@ -7,7 +7,7 @@
 
 from ragworthollow.once import (
     KeyRecord,
-    Ledger,
+    KeyRegistry,
     LookupAnswer,
     LookupState,
     Ownership,
@@ -39,18 +39,18 @@
 }
 
 
-class OnceGate:
+class OnceExecutor:
     """
-    Stand between keyed calls and the upstream.
+    Run each call with a once key at most once on the upstream.
 
     Parameters
     ----------
     context : ProcessContext
-        Of this process.
+        Context of this process.
     ownership : Ownership
-        What this process may be certain of.
-    ledger : Ledger
-        What it remembers.
+        Decides whether this process owns a key.
+    registry : KeyRegistry
+        Records of the keys that have run here.
     execute : callable
         Runs a call on the upstream.
     """
@@ -60,71 +60,71 @@
         *,
         context: ProcessContext,
         ownership: Ownership,
-        ledger: Ledger,
+        registry: KeyRegistry,
         execute: Execute,
     ) -> None:
         self._context = context
         self._ownership = ownership
-        self._ledger = ledger
+        self._registry = registry
         self._execute = execute
         self._name = context.settings.instance
         self._running: dict[str, asyncio.Task[StageAnswer]] = {}
 
     async def run(self, call: StageCall, once: OnceKey) -> StageAnswer:
         """
-        Run a call, join it while it runs, or repeat its result.
+        Run a call, wait for it if it is running, or return its result.
 
-        A caller that goes away does not cancel a call that may have had its
-        effect: the task goes on and its result is kept for the repeat.
+        A disconnected caller does not cancel a call that may already have had
+        its effect: the task continues and its result is kept for a retry.
 
         Parameters
         ----------
         call : StageCall
-            The call.
+            Call to run.
         once : OnceKey
-            Its key.
+            Key of the call.
 
         Returns
         -------
         StageAnswer
-            The one answer of this key.
+            Same answer for every call with this key.
         """
         if once.fresh:
-            # Nobody else has ever seen the key, so that no other process
-            # can have run it and no repeat of it can come.
+            # The key was never given to another process, so no other process
+            # can have run it and no retry can arrive.
             return await self._execute(call)
-        record = self._ledger.get(once.key)
+        record = self._registry.get(once.key)
         if record is None:
-            refused = self._check(call, once)
+            refused = self._refuse_if_not_owner(call, once)
             if refused is not None:
                 return refused
-            self._start(call, once)
+            self._start_execution(call, once)
         elif record.fingerprint != once.fingerprint:
             return self._refuse(call, Outcome.not_run, Reason.key_in_use)
         elif record.state is not RecordState.running:
-            return self._replay(call, record)
+            return self._make_replay(call, record)
         return await self._join(call, once.key)
 
     async def look_up(self, once: OnceKey, wait_ms: float) -> LookupAnswer:
         """
-        Say what is known of a key.
+        Look up the state of a key.
 
         Parameters
         ----------
         once : OnceKey
-            The key.
+            Key to look up.
         wait_ms : float
-            How long to wait for a call that is still running.
+            Maximum wait for a call that is still running.
 
         Returns
         -------
         LookupAnswer
-            `absent` only when it is certain that the key never ran.
+            `absent` only if it is certain that the key never ran.
         """
         task = self._running.get(once.key)
         if task is not None:
             await asyncio.wait([task], timeout=wait_ms / _MILLISECONDS)
-        record = self._ledger.get(once.key)
+        record = self._registry.get(once.key)
         if record is not None:
             if record.state is RecordState.running:
                 return LookupAnswer(state=LookupState.running)
@@ -139,7 +139,9 @@
             get_monotonic_ms(),
         )
 
-    def _check(self, call: StageCall, once: OnceKey) -> StageAnswer | None:
+    def _refuse_if_not_owner(
+        self, call: StageCall, once: OnceKey
+    ) -> StageAnswer | None:
         standing = self._get_standing(once)
         if standing is Standing.born_before:
             return self._refuse(call, Outcome.unknown, _REASONS[standing])
@@ -150,7 +152,7 @@
                 _REASONS[standing],
                 retry_after_ms=_OWNERSHIP_RETRY_MS,
             )
-        if self._ledger.is_full():
+        if self._registry.is_full():
             return self._refuse(
                 call,
                 Outcome.not_run,
@@ -159,8 +161,8 @@
             )
         return None
 
-    def _start(self, call: StageCall, once: OnceKey) -> None:
-        self._ledger.put(
+    def _start_execution(self, call: StageCall, once: OnceKey) -> None:
+        self._registry.put(
             KeyRecord(
                 key=once.key,
                 born_ms=once.born_ms,
@@ -177,11 +179,11 @@
             peer=self._name,
             detail=call.request_id,
         )
-        task = asyncio.ensure_future(self._run_recorded(call, once))
+        task = asyncio.ensure_future(self._execute_and_record(call, once))
         self._running[once.key] = task
         task.add_done_callback(lambda _: self._running.pop(once.key, None))
 
-    async def _run_recorded(
+    async def _execute_and_record(
         self,
         call: StageCall,
         once: OnceKey,
@@ -192,7 +194,7 @@
             self._record(call, once, RecordState.unknown)
             raise
         if answer.outcome is Outcome.not_run:
-            self._ledger.remove(once.key)
+            self._registry.remove(once.key)
         else:
             self._record(
                 call,
@@ -210,7 +212,7 @@
         answer: StageAnswer | None = None,
     ) -> None:
         refusal = answer.refusal if answer else None
-        self._ledger.put(
+        self._registry.put(
             KeyRecord(
                 key=once.key,
                 born_ms=once.born_ms,
@@ -230,9 +232,10 @@
                 [task],
                 timeout=max(call.remaining_ms, 0) / _MILLISECONDS,
             )
-        record = self._ledger.get(key)
+        record = self._registry.get(key)
         if record is None and task is not None and task.done():
-            # It provably never started; so says the answer to each of us.
+            # The call is certain not to have started; each waiting caller
+            # gets that answer.
             return msgspec.structs.replace(
                 task.result(),
                 request_id=call.request_id,
@@ -240,9 +243,9 @@
             )
         if record is None or record.state is RecordState.running:
             return self._refuse(call, Outcome.unknown, Reason.attempt_timeout)
-        return self._replay(call, record)
+        return self._make_replay(call, record)
 
-    def _replay(self, call: StageCall, record: KeyRecord) -> StageAnswer:
+    def _make_replay(self, call: StageCall, record: KeyRecord) -> StageAnswer:
         if record.state is RecordState.done:
             return StageAnswer(
                 request_id=call.request_id,
--- a/packages/ragworthollow-daemon/src/ragworthollow_daemon/sidecar/once_routes.py
+++ b/packages/ragworthollow-daemon/src/ragworthollow_daemon/sidecar/once_routes.py
@@ -1,12 +1,12 @@
-"""Serve lookups of keys and the questions of other members."""
+"""Serve key lookups and the requests of other members."""
 
 import msgspec
 from aiohttp import web
 
-from ragworthollow.once import Ledger, Ownership
+from ragworthollow.once import KeyRegistry, Ownership
 from ragworthollow.once.peer_messages import (
-    MemberQuestion,
     MemberReply,
+    MemberRequest,
     RecordTransfer,
 )
 from ragworthollow.once.promises import reply_to
@@ -14,88 +14,92 @@
 from ragworthollow.transport.responses import Problem, respond
 from ragworthollow.utils import get_monotonic_ms
 from ragworthollow_daemon.sidecar.once_agent import OnceAgent
-from ragworthollow_daemon.sidecar.once_gate import OnceGate
+from ragworthollow_daemon.sidecar.once_gate import OnceExecutor
 
-_LONGEST_WAIT_MS = 10_000.0
+_MAX_WAIT_MS = 10_000.0
 
 
 class OnceRoutes:
     """
-    Answer entries and members about keys.
+    Handle requests of entries and members about keys.
 
     Parameters
     ----------
-    gate : OnceGate
-        Runs and remembers keyed calls.
+    executor : OnceExecutor
+        Runs and records calls with a once key.
     agent : OnceAgent
-        Reads the record.
+        Reads the assignment.
     ownership : Ownership
-        Decides on promises.
-    ledger : Ledger
-        Takes records over.
+        Decides whether to grant promises.
+    registry : KeyRegistry
+        Receives transferred records.
     """
 
     def __init__(
         self,
         *,
-        gate: OnceGate,
+        executor: OnceExecutor,
         agent: OnceAgent,
         ownership: Ownership,
-        ledger: Ledger,
+        registry: KeyRegistry,
     ) -> None:
-        self._gate = gate
+        self._executor = executor
         self._agent = agent
         self._ownership = ownership
-        self._ledger = ledger
+        self._registry = registry
 
     def add_to(self, application: web.Application) -> None:
-        """Add the routes."""
+        """Register the routes."""
         router = application.router
         router.add_get('/v1/once/assignment', self.get_assignment)
         router.add_post('/v1/once/lookups', self.look_up)
         router.add_post('/v1/once/promises', self.promise)
-        router.add_post('/v1/once/introductions', self.meet)
-        router.add_post('/v1/once/records', self.take_records)
+        router.add_post('/v1/once/introductions', self.introduce)
+        router.add_post('/v1/once/records', self.receive_records)
 
     async def get_assignment(self, _request: web.Request) -> web.Response:
-        """Return the record as this process knows it."""
+        """Return the assignment as last read by this process."""
         return respond(self._ownership.assignment)
 
     async def look_up(self, request: web.Request) -> web.Response:
-        """Say what is known of a key, waiting while it runs."""
+        """Return the state of a key, waiting while its call runs."""
         try:
             once = msgspec.json.decode(await request.read(), type=OnceKey)
             wait_ms = float(request.query.get('wait_ms', 0))
         except (msgspec.DecodeError, ValueError) as error:
             return respond(Problem(error=str(error)), status=400)
-        answer = await self._gate.look_up(
+        answer = await self._executor.look_up(
             once,
-            min(wait_ms, _LONGEST_WAIT_MS),
+            min(wait_ms, _MAX_WAIT_MS),
         )
         return respond(answer)
 
     async def promise(self, request: web.Request) -> web.Response:
         """Promise a member not to take over from it for a while."""
-        question = await _read_question(request)
-        if question is None:
-            return respond(Problem(error='not a question'), status=400)
+        peer_request = await _read_request(request)
+        if peer_request is None:
+            return respond(
+                Problem(error='body is not a valid member request'), status=400
+            )
         return respond(
-            reply_to(self._ownership, question, get_monotonic_ms()),
+            reply_to(self._ownership, peer_request, get_monotonic_ms()),
         )
 
-    async def meet(self, request: web.Request) -> web.Response:
-        """Read the record that lists a new member."""
-        question = await _read_question(request)
-        if question is None:
-            return respond(Problem(error='not a question'), status=400)
-        if question.assignment is not None:
-            self._ownership.learn(question.assignment)
-        elif question.epoch > self._ownership.assignment.epoch:
-            await self._agent.learn()
+    async def introduce(self, request: web.Request) -> web.Response:
+        """Apply or read an assignment that lists a new member."""
+        peer_request = await _read_request(request)
+        if peer_request is None:
+            return respond(
+                Problem(error='body is not a valid member request'), status=400
+            )
+        if peer_request.assignment is not None:
+            self._ownership.learn(peer_request.assignment)
+        elif peer_request.epoch > self._ownership.assignment.epoch:
+            await self._agent.refresh_assignment()
         return respond(self._make_reply())
 
-    async def take_records(self, request: web.Request) -> web.Response:
-        """Take the records of ranges that are about to be ours."""
+    async def receive_records(self, request: web.Request) -> web.Response:
+        """Store records of ranges about to be assigned to this process."""
         try:
             transfer = msgspec.json.decode(
                 await request.read(),
@@ -104,7 +108,7 @@
         except msgspec.DecodeError as error:
             return respond(Problem(error=str(error)), status=400)
         if transfer.incarnation == self._ownership.incarnation:
-            self._ledger.merge(transfer.records)
+            self._registry.merge(transfer.records)
         return respond(self._make_reply())
 
     def _make_reply(self) -> MemberReply:
@@ -114,8 +118,8 @@
         )
 
 
-async def _read_question(request: web.Request) -> MemberQuestion | None:
+async def _read_request(request: web.Request) -> MemberRequest | None:
     try:
-        return msgspec.json.decode(await request.read(), type=MemberQuestion)
+        return msgspec.json.decode(await request.read(), type=MemberRequest)
     except msgspec.DecodeError:
         return None
--- a/packages/ragworthollow-daemon/src/ragworthollow_daemon/sidecar/order_agent.py
+++ b/packages/ragworthollow-daemon/src/ragworthollow_daemon/sidecar/order_agent.py
@@ -1,4 +1,4 @@
-"""Give the engine beside this sidecar its orders."""
+"""Send load and unload orders to the engine next to this sidecar."""
 
 import asyncio
 
@@ -19,7 +19,7 @@
 from ragworthollow_daemon.sidecar.member_lease import MemberLease
 
 _MILLISECONDS = 1000
-_FENCED = 412
+_PRECONDITION_FAILED = 412
 _OK = 200
 _FAILURES = (
     aiohttp.ClientError,
@@ -31,19 +31,20 @@
 
 class OrderAgent:
     """
-    Be the one orderer of an engine.
+    Ensure that only one process sends orders to an engine.
 
-    The right to order is a leased key; its revision is the fencing number,
-    which grows with each new holder.  An engine that ignores the number gets
-    its first order only after every order of an earlier holder has ended:
-    its lease has lapsed or its process is dead, and the longest order has
-    passed since.  An order of a holder that was paused beyond all that is
-    found by the next comparison and corrected.
+    The right to send orders is a key bound to a lease; the revision of the
+    key is the fencing token, which grows with each new holder. An engine that
+    ignores the token gets its first order only after every order of an
+    earlier holder has ended: the earlier lease has expired or its process has
+    terminated, and the maximum duration of an order has passed since. If a
+    holder was suspended for longer than that and then sends an order, the
+    next comparison of loaded and wanted models finds and corrects it.
 
     Parameters
     ----------
     context : ProcessContext
-        Of this process.
+        Context of this process.
     pool : str
         Pool of the engine.
     """
@@ -57,20 +58,20 @@
         self._ttl_ms = (
             context.settings.lease_ttl_ms * global_settings.ENGINE_LEASE_FACTOR
         )
-        self._fence = 0
-        self._quiet_until_ms = float('inf')
-        self._configured_ms = get_monotonic_ms()
+        self._fencing_token = 0
+        self._blocked_until_ms = float('inf')
+        self._configuration_changed_ms = get_monotonic_ms()
         self._checked_ms = float('-inf')
-        self.carried: dict[str, str] = {}
+        self.loaded_models: dict[str, str] = {}
         self.lease = MemberLease(
             key_value=context.key_value,
             key=self._key,
             ttl_ms=self._ttl_ms,
         )
-        context.store.listen(self._note_change)
+        context.store.listen(self._record_configuration_change)
 
     async def run(self) -> None:
-        """Keep the engine as configured until cancelled."""
+        """Keep the loaded models as configured until cancelled."""
         while True:
             await asyncio.sleep(
                 global_settings.PLACEMENT_INTERVAL_MS / _MILLISECONDS,
@@ -79,27 +80,27 @@
                 await self.step()
 
     async def step(self) -> None:
-        """Hold the right to order, compare, and give at most one order."""
-        if not await self._hold_right():
+        """Ensure the lease, compare models and send at most one order."""
+        if not await self._ensure_lease():
             return
         now_ms = get_monotonic_ms()
-        if now_ms < self._quiet_until_ms:
+        if now_ms < self._blocked_until_ms:
             return
         wanted = self._get_wanted()
         is_due = now_ms - self._checked_ms >= global_settings.PLACEMENT_CHECK_MS
-        if self.carried == wanted and not is_due:
+        if self.loaded_models == wanted and not is_due:
             return
-        carried = await self._read_carried()
-        if carried is None:
+        loaded_models = await self._fetch_loaded_models()
+        if loaded_models is None:
             return
-        self.carried = carried
+        self.loaded_models = loaded_models
         self._checked_ms = now_ms
-        order = plan_order(carried, wanted, self._fence)
-        if order is not None and await self._may_order(order):
-            await self._give(order)
+        order = plan_order(loaded_models, wanted, self._fencing_token)
+        if order is not None and await self._is_order_allowed(order):
+            await self._send_order(order)
 
-    def _note_change(self) -> None:
-        self._configured_ms = get_monotonic_ms()
+    def _record_configuration_change(self) -> None:
+        self._configuration_changed_ms = get_monotonic_ms()
 
     def _get_pool(self) -> Pool:
         pools = self._context.store.deployment.pools
@@ -111,10 +112,10 @@
             self._context.store.deployment,
             self._pool,
             self._name,
-            [one.instance for one in listed],
+            [listed_instance.instance for listed_instance in listed],
         )
 
-    async def _hold_right(self) -> bool:
+    async def _ensure_lease(self) -> bool:
         if self.lease.lease:
             if not self.lease.is_due(get_monotonic_ms()):
                 return True
@@ -127,8 +128,8 @@
         return await self._acquire()
 
     async def _acquire(self) -> bool:
-        found = await self._context.key_value.read(self._key)
-        if isinstance(found, Err):
+        previous = await self._context.key_value.read(self._key)
+        if isinstance(previous, Err):
             return False
         member = MemberKey(
             incarnation=self._context.incarnation,
@@ -136,41 +137,41 @@
         )
         acquired = await self.lease.acquire(
             member,
-            found.ok_value,
-            compare_with(self._key, found.ok_value),
+            previous.ok_value,
+            compare_with(self._key, previous.ok_value),
         )
         if isinstance(acquired, Err) or not acquired.ok_value:
             return False
-        stored = await self._context.key_value.read(self._key)
-        if isinstance(stored, Err):
+        current = await self._context.key_value.read(self._key)
+        if isinstance(current, Err):
             self.lease.lease = 0
             return False
-        self._fence = stored.ok_value.get_position().to_number()
-        is_first = not found.ok_value.mod_revision and not self.carried
-        has_gap = is_first or self._get_pool().checks_fencing
-        wait_ms = 0 if has_gap else global_settings.ORDER_LIMIT_MS
-        self._quiet_until_ms = get_monotonic_ms() + wait_ms
+        self._fencing_token = current.ok_value.get_position().to_number()
+        is_first = not previous.ok_value.mod_revision and not self.loaded_models
+        is_safe_now = is_first or self._get_pool().checks_fencing
+        wait_ms = 0 if is_safe_now else global_settings.ORDER_LIMIT_MS
+        self._blocked_until_ms = get_monotonic_ms() + wait_ms
         return True
 
-    async def _may_order(self, order: EngineOrder) -> bool:
+    async def _is_order_allowed(self, order: EngineOrder) -> bool:
         now_ms = get_monotonic_ms()
         if order.action is Action.unload:
-            # Requests that were admitted under the earlier configuration
-            # may still ask for the model.
-            waited_ms = now_ms - self._configured_ms
+            # Requests admitted under the previous configuration may still use
+            # the model.
+            waited_ms = now_ms - self._configuration_changed_ms
             return waited_ms >= global_settings.UNLOAD_DELAY_MS
-        taken = await take_load(
+        acquired = await take_load(
             self._context.key_value,
             self._get_pool().loads_per_minute,
             get_wall_ms(),
         )
-        if isinstance(taken, Ok) and taken.ok_value:
+        if isinstance(acquired, Ok) and acquired.ok_value:
             return True
         self._context.metrics.count_event('load_postponed')
         return False
 
-    async def _give(self, order: EngineOrder) -> None:
-        status = await self._post(order)
+    async def _send_order(self, order: EngineOrder) -> None:
+        status = await self._post_order(order)
         self._context.metrics.count_event(f'order_{order.action}')
         log_event(
             'engine_ordered',
@@ -181,14 +182,18 @@
             fence=order.fence,
             status=status,
         )
-        if status == _FENCED:
-            # Somebody holds a newer right; ours is over.
+        if status == _PRECONDITION_FAILED:
+            # Another process holds a newer fencing token; this lease is no
+            # longer valid.
             self.lease.lease = 0
             self._context.metrics.count_event('order_fenced')
         elif status == _OK and order.action is Action.load:
-            self.carried = {**self.carried, order.model: order.version}
+            self.loaded_models = {
+                **self.loaded_models,
+                order.model: order.version,
+            }
 
-    async def _post(self, order: EngineOrder) -> int:
+    async def _post_order(self, order: EngineOrder) -> int:
         try:
             async with self._context.plain_session.post(
                 f'{self._url}/v1/orders',
@@ -199,17 +204,17 @@
         except _FAILURES:
             return 0
 
-    async def _read_carried(self) -> dict[str, str] | None:
+    async def _fetch_loaded_models(self) -> dict[str, str] | None:
         try:
             async with self._context.plain_session.get(
                 f'{self._url}/v1/models',
                 timeout=get_timeout(global_settings.PEER_TIMEOUT_MS),
                 raise_for_status=True,
             ) as response:
-                found = msgspec.json.decode(
+                engine_models = msgspec.json.decode(
                     await response.read(),
                     type=EngineModels,
                 )
         except _FAILURES:
             return None
-        return found.models
+        return engine_models.models
--- a/packages/ragworthollow-daemon/src/ragworthollow_daemon/sidecar/record_reader.py
+++ b/packages/ragworthollow-daemon/src/ragworthollow_daemon/sidecar/record_reader.py
@@ -1,4 +1,4 @@
-"""Read the assignment and show that this sidecar is alive."""
+"""Read the assignment and keep the member key of this sidecar alive."""
 
 from collections.abc import Mapping
 
@@ -22,16 +22,16 @@
 
 class RecordReader:
     """
-    Keep the lease alive and the ownership as the platform has it.
+    Renew the lease and update the ownership from the platform.
 
     Parameters
     ----------
     context : ProcessContext
-        Of this process.
+        Context of this process.
     ownership : Ownership
-        Learns from what is read.
+        Updated from what is read.
     pool : str
-        Pool whose assignment is kept.
+        Pool whose assignment is read.
     """
 
     def __init__(
@@ -55,13 +55,13 @@
 
     async def refresh(self) -> Members | None:
         """
-        Renew the lease, then read the record and the members.
+        Renew the lease, then read the assignment and the members.
 
         Returns
         -------
         mapping or None
-            Members that are alive; None when the platform gave no answer or
-            our own key is not in place.
+            Live members; None if the platform did not respond or the member
+            key of this process could not be written.
         """
         if self.lease.lease and self.lease.is_due(get_monotonic_ms()):
             renewed = await self.lease.renew()
@@ -71,42 +71,42 @@
                 self._ownership.lose()
                 self._context.metrics.count_event('lease_lapsed')
                 log_event('lease_lapsed', step='once', peer=self._name)
-        found = await self.read()
-        if found is None or not await self._show_member(found):
+        entries = await self.read()
+        if entries is None or not await self._ensure_member_key(entries):
             return None
-        # The record was read after the renewal was sent, so that it lists
-        # every member that joined before.
+        # The assignment was read after the renewal was sent, so it lists every
+        # member that joined before the renewal.
         self._ownership.confirm(self.lease.renewed_ms)
-        return self._decode_members(found)
+        return self._decode_members(entries)
 
     async def read(self) -> Mapping[str, Stored] | None:
-        """Read the record and the member keys in one call."""
-        found = await self._context.key_value.read_prefix(self._prefix)
-        if isinstance(found, Err):
+        """Read the assignment and the member keys in one request."""
+        result = await self._context.key_value.read_prefix(self._prefix)
+        if isinstance(result, Err):
             return None
-        keys = found.ok_value.found
-        absent = Stored(timeline=found.ok_value.timeline)
-        record = keys.get(self.record_key, absent)
+        entries = result.ok_value.found
+        absent = Stored(timeline=result.ok_value.timeline)
+        record = entries.get(self.record_key, absent)
         if record.get_position() > self._record.get_position():
-            # A write of ours that is still on its way compares the old
-            # revision and can no longer apply.
+            # A write of this process that is still in transit compares the
+            # old revision and can no longer apply.
             self._ownership.taking = ''
             self._ownership.moving = frozenset()
         if record.get_position() >= self._record.get_position():
             self._record = record
             self._ownership.learn(decode_assignment(record.text))
-        return keys
+        return entries
 
     def compare_record(self) -> Compare:
-        """Require that the record is still the one last read."""
+        """Return the condition that the assignment is unchanged since read."""
         return compare_with(self.record_key, self._record)
 
     def get_member_key(self, instance: str) -> str:
-        """Return the key that shows a member."""
+        """Return the key that announces a live member."""
         return f'{self._prefix}members/{instance}'
 
-    async def _show_member(self, found: Mapping[str, Stored]) -> bool:
-        own = found.get(self.get_member_key(self._name), _ABSENT)
+    async def _ensure_member_key(self, entries: Mapping[str, Stored]) -> bool:
+        own = entries.get(self.get_member_key(self._name), _ABSENT)
         if self.lease.lease:
             written = await self.lease.update(self._make_member(), own)
         else:
@@ -124,14 +124,14 @@
             leaving=self._context.drain.is_draining,
         )
 
-    def _decode_members(self, found: Mapping[str, Stored]) -> Members:
+    def _decode_members(self, entries: Mapping[str, Stored]) -> Members:
         prefix = self.get_member_key('')
         members = {
             key.removeprefix(prefix): msgspec.json.decode(
                 stored.text,
                 type=MemberKey,
             )
-            for key, stored in found.items()
+            for key, stored in entries.items()
             if key.startswith(prefix)
         }
         return {**members, self._name: self._make_member()}
--- a/packages/ragworthollow-daemon/src/ragworthollow_daemon/sidecar/role.py
+++ b/packages/ragworthollow-daemon/src/ragworthollow_daemon/sidecar/role.py
@@ -1,4 +1,4 @@
-"""Assemble the sidecar."""
+"""Assemble the components of the sidecar role."""
 
 import asyncio
 
@@ -7,16 +7,16 @@
 from ragworthollow.admission import AdmissionQueue
 from ragworthollow.conf import global_settings
 from ragworthollow.configuration import Pool
-from ragworthollow.once import Ledger, Ownership
+from ragworthollow.once import KeyRegistry, Ownership
 from ragworthollow.once.ownership import OwnershipRules
 from ragworthollow.utils import get_wall_ms
 from ragworthollow_daemon.process_context import ProcessContext
 from ragworthollow_daemon.sidecar.once_agent import OnceAgent
-from ragworthollow_daemon.sidecar.once_gate import OnceGate
+from ragworthollow_daemon.sidecar.once_gate import OnceExecutor
 from ragworthollow_daemon.sidecar.once_routes import OnceRoutes
 from ragworthollow_daemon.sidecar.order_agent import OrderAgent
 from ragworthollow_daemon.sidecar.slot_queue import SlotQueue
-from ragworthollow_daemon.sidecar.stage_gate import StageGate
+from ragworthollow_daemon.sidecar.stage_gate import StageExecutor
 from ragworthollow_daemon.sidecar.stage_routes import StageRoutes, ignore_token
 from ragworthollow_daemon.sidecar.upstream_client import UpstreamClient
 from ragworthollow_daemon.web.health_routes import DETAILS_KEY
@@ -26,12 +26,13 @@
 
 class SidecarRole:
     """
-    Guard one upstream instance.
+    Admit and run stage calls for one upstream instance.
 
     Parameters
     ----------
     context : ProcessContext
-        Of this process; its settings name the sidecar's pool and upstream.
+        Context of this process; its settings name the pool and the URL of
+        the upstream.
     """
 
     def __init__(self, *, context: ProcessContext) -> None:
@@ -41,7 +42,7 @@
         self._slots = SlotQueue(
             queue=AdmissionQueue(capacity=global_settings.DEFAULT_CONCURRENCY),
         )
-        self._ledger = Ledger()
+        self._registry = KeyRegistry()
         self._ownership = Ownership(
             instance=settings.instance,
             incarnation=context.incarnation,
@@ -50,11 +51,11 @@
         self._agent = OnceAgent(
             context=context,
             ownership=self._ownership,
-            ledger=self._ledger,
+            registry=self._registry,
             pool=self._pool,
         )
-        self._orders = OrderAgent(context=context, pool=self._pool)
-        self._gate = StageGate(
+        self._order_agent = OrderAgent(context=context, pool=self._pool)
+        self._stage_executor = StageExecutor(
             context=context,
             slots=self._slots,
             upstream=UpstreamClient(
@@ -62,62 +63,62 @@
                 base_url=settings.sidecar.upstream_url,
             ),
         )
-        self._once = OnceGate(
+        self._once_executor = OnceExecutor(
             context=context,
             ownership=self._ownership,
-            ledger=self._ledger,
-            execute=lambda call: self._gate.run(call, ignore_token),
+            registry=self._registry,
+            execute=lambda call: self._stage_executor.run(call, ignore_token),
         )
         context.store.listen(self._configure)
 
     def add_to(self, application: web.Application) -> None:
-        """Add the routes of the role."""
+        """Register the routes of the role."""
         StageRoutes(
             context=self._context,
-            gate=self._gate,
-            once=self._once,
+            executor=self._stage_executor,
+            once_executor=self._once_executor,
         ).add_to(application)
         OnceRoutes(
-            gate=self._once,
+            executor=self._once_executor,
             agent=self._agent,
             ownership=self._ownership,
-            ledger=self._ledger,
+            registry=self._registry,
         ).add_to(application)
         application[DETAILS_KEY] = self._get_details
 
     async def start(self) -> None:
-        """Start the loops."""
+        """Start the background tasks."""
         self._context.spawn(self._slots.run())
         self._context.spawn(self._run_agent())
-        self._context.spawn(self._orders.run())
+        self._context.spawn(self._order_agent.run())
 
     async def stop(self, limit_ms: float) -> None:
         """
-        Refuse new work, hand key ranges over and finish what runs.
+        Transfer the key ranges, wait for running calls and release the lease.
 
         Parameters
         ----------
         limit_ms : float
-            Longest wait.
+            Maximum wait of each phase.
         """
-        if self._has_keys():
+        if self._has_once_stages():
             await self._agent.leave(limit_ms)
         await self._context.drain.wait_quiet(limit_ms)
-        await self._orders.lease.release()
+        await self._order_agent.lease.release()
 
     async def _run_agent(self) -> None:
         while True:
-            if self._has_keys():
+            if self._has_once_stages():
                 await self._agent.step()
-                self._ledger.forget_old(get_wall_ms())
+                self._registry.remove_expired(get_wall_ms())
                 await self._agent.pause()
             else:
                 await asyncio.sleep(
                     global_settings.OWNERSHIP_INTERVAL_MS / _MILLISECONDS,
                 )
 
-    def _has_keys(self) -> bool:
-        """Tell whether any pipeline has a non-repeatable stage here."""
+    def _has_once_stages(self) -> bool:
+        """Return whether this pool serves any non-repeatable stage."""
         deployment = self._context.store.deployment
         return self._pool in deployment.get_once_pools()
 
@@ -128,7 +129,7 @@
         queue.capacity = pool.concurrency
         queue.limit = pool.queue_limit
         queue.shares = self._context.store.shares
-        self._slots.pump()
+        self._slots.dispatch_waiting()
 
     def _get_details(self) -> dict[str, object]:
         return {
@@ -141,7 +142,7 @@
                 self._ownership.is_ours(owner)
                 for owner in self._ownership.assignment.ranges
             ),
-            'models': self._orders.carried,
-            'records': len(self._ledger),
-            'records_bytes': self._ledger.size_bytes,
+            'models': self._order_agent.loaded_models,
+            'records': len(self._registry),
+            'records_bytes': self._registry.size_bytes,
         }
--- a/packages/ragworthollow-daemon/src/ragworthollow_daemon/sidecar/slot_queue.py
+++ b/packages/ragworthollow-daemon/src/ragworthollow_daemon/sidecar/slot_queue.py
@@ -1,4 +1,4 @@
-"""Let calls wait for a slot of the upstream."""
+"""Queue calls for the concurrency slots of the upstream."""
 
 import asyncio
 import itertools
@@ -12,26 +12,26 @@
 from ragworthollow.utils import get_monotonic_ms
 from ragworthollow_daemon.sidecar.slot_refusal import SlotRefusal
 
-_FORGET_MS = 10_000
+_IDLE_REMOVAL_INTERVAL_MS = 10_000
 _MILLISECONDS = 1000
 
-_Grant = Result[None, SlotRefusal]
+_SlotResult = Result[None, SlotRefusal]
 
 
 class SlotQueue:
     """
-    Join the admission decisions with waiting tasks.
+    Connect the decisions of the admission queue to waiting tasks.
 
     Parameters
     ----------
     queue : AdmissionQueue
-        The decisions.
+        Decides which calls start, wait or are refused.
     """
 
     def __init__(self, *, queue: AdmissionQueue) -> None:
         self.queue = queue
         self._numbers = itertools.count()
-        self._futures: dict[int, asyncio.Future[_Grant]] = {}
+        self._futures: dict[int, asyncio.Future[_SlotResult]] = {}
 
     def make_ticket(
         self,
@@ -41,7 +41,7 @@
         worth: float,
         cost_ms: float,
     ) -> Ticket:
-        """Make a ticket with the next number."""
+        """Return a ticket with a new id."""
         return Ticket(
             ticket_id=next(self._numbers),
             organisation=organisation,
@@ -50,88 +50,89 @@
             cost_ms=max(cost_ms, self.queue.service_ms),
         )
 
-    async def acquire(self, ticket: Ticket) -> _Grant:
+    async def acquire(self, ticket: Ticket) -> _SlotResult:
         """
         Wait for a slot.
 
         Parameters
         ----------
         ticket : Ticket
-            The call.
+            Ticket of the call.
 
         Returns
         -------
         Result
-            A slot to be given back with `release`, or why there is none;
-            the refused call has provably not run.
+            Ok when a slot was granted, which must be returned with `release`;
+            otherwise the refusal. A refused call is certain not to have run.
         """
         now_ms = get_monotonic_ms()
-        offered = self.queue.offer(ticket, now_ms)
-        if isinstance(offered, Err):
-            rejection = offered.err_value
+        accepted = self.queue.offer(ticket, now_ms)
+        if isinstance(accepted, Err):
+            rejection = accepted.err_value
             return Err(
                 SlotRefusal(
                     reason=rejection.reason,
                     retry_after_ms=get_retry_after_ms(rejection.wait_ms),
                 ),
             )
-        future: asyncio.Future[_Grant] = asyncio.Future()
+        future: asyncio.Future[_SlotResult] = asyncio.Future()
         self._futures[ticket.ticket_id] = future
-        for evicted in offered.ok_value.evicted:
+        for evicted in accepted.ok_value.evicted:
             self._refuse(evicted, Reason.shed)
-        self.pump()
-        # The moment at which it can no longer finish in time.
+        self.dispatch_waiting()
+        # When this slack is used up, the call can no longer finish before its
+        # deadline.
         slack_ms = (
             ticket.deadline_ms - self.queue.get_safe_service_ms() - now_ms
         )
         timer = asyncio.get_running_loop().call_later(
             (slack_ms + 1) / _MILLISECONDS,
-            self.pump,
+            self.dispatch_waiting,
         )
         try:
             return await future
         except asyncio.CancelledError:
-            self._abandon(ticket, future)
+            self._cancel(ticket, future)
             raise
         finally:
             timer.cancel()
 
     def release(self, ticket: Ticket, busy_ms: float, *, is_done: bool) -> None:
         """
-        Give a slot back.
+        Return a slot.
 
         Parameters
         ----------
         ticket : Ticket
-            The call that ended.
+            Ticket of the call that ended.
         busy_ms : float
-            Time it held the slot.
+            How long the call held the slot.
         is_done : bool
-            Whether it ended with a whole result; others teach nothing about
-            the time that a call takes.
+            Whether the call ended with a complete result; only such calls
+            update the service time estimate.
         """
         self.queue.finish(ticket, busy_ms, get_monotonic_ms())
         if is_done:
             self.queue.observe_service(busy_ms)
-        self.pump()
+        self.dispatch_waiting()
 
-    def pump(self) -> None:
-        """Start what can start and refuse what has become too late."""
-        turn = self.queue.take(get_monotonic_ms())
-        for expired in turn.expired:
+    def dispatch_waiting(self) -> None:
+        """Start calls that have a slot and refuse those past their deadline."""
+        result = self.queue.take(get_monotonic_ms())
+        for expired in result.expired:
             self._refuse(expired, Reason.deadline_exceeded)
-        for started in turn.started:
+        for started in result.started:
             future = self._futures.pop(started.ticket_id)
             future.set_result(Ok(None))
 
     async def run(self) -> None:
-        """Forget idle organisations until cancelled."""
+        """Remove the state of idle organisations until cancelled."""
         while True:
-            await asyncio.sleep(_FORGET_MS / _MILLISECONDS)
+            await asyncio.sleep(_IDLE_REMOVAL_INTERVAL_MS / _MILLISECONDS)
             self.queue.forget_idle(get_monotonic_ms())
 
     def get_load(self, *, leaving: bool) -> LoadReport:
-        """Report the present load."""
+        """Return the current load."""
         return LoadReport(
             running=self.queue.running,
             waiting=self.queue.waiting,
@@ -140,13 +141,16 @@
             leaving=leaving,
         )
 
-    def _abandon(self, ticket: Ticket, future: asyncio.Future[_Grant]) -> None:
+    def _cancel(
+        self, ticket: Ticket, future: asyncio.Future[_SlotResult]
+    ) -> None:
         self._futures.pop(ticket.ticket_id, None)
         is_granted = future.done() and not future.cancelled()
         if is_granted and future.result().is_ok():
             self.release(ticket, 0, is_done=False)
         elif not is_granted and not self.queue.withdraw(ticket):
-            # The grant and the cancellation met in one turn of the loop.
+            # The slot was granted and the task cancelled in the same iteration
+            # of the event loop.
             self.release(ticket, 0, is_done=False)
 
     def _refuse(self, ticket: Ticket, reason: Reason) -> None:
--- a/packages/ragworthollow-daemon/src/ragworthollow_daemon/sidecar/slot_refusal.py
+++ b/packages/ragworthollow-daemon/src/ragworthollow_daemon/sidecar/slot_refusal.py
@@ -1,4 +1,4 @@
-"""Define why a call got no slot."""
+"""Define the refusal of a call that got no slot."""
 
 from dataclasses import dataclass
 
@@ -8,14 +8,14 @@
 @dataclass(frozen=True, kw_only=True, slots=True)
 class SlotRefusal:
     """
-    Refuse a call that was never handed to the upstream.
+    Refuse a call that was never sent to the upstream.
 
     Attributes
     ----------
     reason : Reason
-        Why.
+        Why no slot was granted.
     retry_after_ms : int
-        When coming back is worth it.
+        Delay after which a retry may be admitted.
     """
 
     reason: Reason
--- a/packages/ragworthollow-daemon/src/ragworthollow_daemon/sidecar/stage_gate.py
+++ b/packages/ragworthollow-daemon/src/ragworthollow_daemon/sidecar/stage_gate.py
@@ -1,4 +1,4 @@
-"""Decide on each call and run it on the upstream."""
+"""Admit stage calls and run them on the upstream."""
 
 from collections.abc import Awaitable, Callable
 
@@ -18,18 +18,20 @@
 Execute = Callable[[], Awaitable[StageAnswer]]
 
 
-class StageGate:
+class StageExecutor:
     """
-    Be the only way to the upstream.
+    Run stage calls on the upstream, within its concurrency limit.
+
+    All calls of the sidecar to the upstream go through this class.
 
     Parameters
     ----------
     context : ProcessContext
-        Of this process.
+        Context of this process.
     slots : SlotQueue
-        Queue for the upstream.
+        Queue for the concurrency slots of the upstream.
     upstream : UpstreamClient
-        The upstream.
+        Client of the upstream.
     """
 
     def __init__(
@@ -46,17 +48,17 @@
 
     def check(self, call: StageCall) -> StageAnswer | None:
         """
-        Refuse a call that must not even wait.
+        Refuse a call that must not be queued.
 
         Parameters
         ----------
         call : StageCall
-            As received.
+            Call as received.
 
         Returns
         -------
         StageAnswer or None
-            A refusal, or None when the call may wait for a slot.
+            Refusal, or None if the call may wait for a slot.
         """
         sidecar = self._context.settings.sidecar
         reason = None
@@ -74,19 +76,19 @@
 
     async def run(self, call: StageCall, emit: Emit) -> StageAnswer:
         """
-        Wait for a slot, run the call and give the slot back.
+        Wait for a slot, run the call and release the slot.
 
         Parameters
         ----------
         call : StageCall
-            Already checked.
+            Call for which `check` has returned None.
         emit : callable
-            Takes each token of a stream.
+            Receives each token of a stream.
 
         Returns
         -------
         StageAnswer
-            How the attempt ended.
+            Result of the attempt.
         """
         deadline_ms = get_monotonic_ms() + call.remaining_ms
         ticket = self._slots.make_ticket(
@@ -114,7 +116,7 @@
             self._release(ticket, call, Outcome.unknown, started_ms)
             raise
         busy_ms = self._release(ticket, call, result.outcome, started_ms)
-        return self._render(call, result, busy_ms)
+        return self._make_answer(call, result, busy_ms)
 
     def refuse_unrun(
         self,
@@ -124,7 +126,7 @@
         detail: str = '',
         retry_after_ms: int | None = None,
     ) -> StageAnswer:
-        """Refuse a call of which nothing has reached the upstream."""
+        """Refuse a call that has not been sent to the upstream."""
         return refuse(
             call,
             outcome=Outcome.not_run,
@@ -134,8 +136,8 @@
             retry_after_ms=retry_after_ms,
         )
 
-    def seal(self, answer: StageAnswer) -> StageAnswer:
-        """Add load and generation to an answer and count it."""
+    def finalize_answer(self, answer: StageAnswer) -> StageAnswer:
+        """Add the load and the generation to an answer and count it."""
         refusal = answer.refusal
         self._context.metrics.count_attempt(
             answer.stage,
@@ -162,7 +164,7 @@
         self._context.metrics.add_busy(call.stage, outcome, busy_ms)
         return busy_ms
 
-    def _render(
+    def _make_answer(
         self,
         call: StageCall,
         result: UpstreamResult,
--- a/packages/ragworthollow-daemon/src/ragworthollow_daemon/sidecar/stage_routes.py
+++ b/packages/ragworthollow-daemon/src/ragworthollow_daemon/sidecar/stage_routes.py
@@ -1,4 +1,4 @@
-"""Serve stage calls."""
+"""Serve stage calls over HTTP."""
 
 import asyncio
 
@@ -9,14 +9,14 @@
 from ragworthollow.transport import OnceKey, StageAnswer, StageCall, StreamLine
 from ragworthollow.transport.responses import Problem, respond
 from ragworthollow_daemon.process_context import ProcessContext
-from ragworthollow_daemon.sidecar.once_gate import OnceGate
-from ragworthollow_daemon.sidecar.stage_gate import StageGate
+from ragworthollow_daemon.sidecar.once_gate import OnceExecutor
+from ragworthollow_daemon.sidecar.stage_gate import StageExecutor
 
 _LINE_END = b'\n'
 
 
 async def ignore_token(_line: StreamLine) -> None:
-    """Take a token of a call that is not streamed."""
+    """Discard a token of a call that is not streamed."""
 
 
 class StageRoutes:
@@ -26,54 +26,57 @@
     Parameters
     ----------
     context : ProcessContext
-        Of this process.
-    gate : StageGate
-        The way to the upstream.
-    once : OnceGate
-        The way for keyed calls.
+        Context of this process.
+    executor : StageExecutor
+        Runs calls without a key.
+    once_executor : OnceExecutor
+        Runs calls with a once key.
     """
 
     def __init__(
         self,
         *,
         context: ProcessContext,
-        gate: StageGate,
-        once: OnceGate,
+        executor: StageExecutor,
+        once_executor: OnceExecutor,
     ) -> None:
         self._context = context
-        self._gate = gate
-        self._once = once
+        self._executor = executor
+        self._once_executor = once_executor
 
     def add_to(self, application: web.Application) -> None:
-        """Add the routes."""
+        """Register the routes."""
         application.router.add_post('/v1/stages', self.run_stage)
 
     async def run_stage(self, request: web.Request) -> web.StreamResponse:
-        """Run one stage call; a generating one answers line by line."""
+        """Run one stage call; stream the output of a generating stage."""
         try:
             call = msgspec.json.decode(await request.read(), type=StageCall)
         except msgspec.DecodeError as error:
             return respond(Problem(error=str(error)), status=400)
         with self._context.drain.serving():
-            refused = self._gate.check(call)
+            refused = self._executor.check(call)
             if refused is not None:
-                return respond(self._gate.seal(refused))
+                return respond(self._executor.finalize_answer(refused))
             if call.kind is StageKind.generate:
                 return await self._stream(request, call)
-            return respond(self._gate.seal(await self._run(call)))
+            return respond(
+                self._executor.finalize_answer(await self._run(call))
+            )
 
     async def _run(self, call: StageCall) -> StageAnswer:
         if call.once is None:
-            return await self._gate.run(call, ignore_token)
-        # The caller's departure must not cut a call that may have had its
-        # effect: drain waits for it, and its record answers the repeat.
+            return await self._executor.run(call, ignore_token)
+        # A disconnected caller must not cancel a call that may already have
+        # had its effect: drain waits for the call, and a retry gets the
+        # recorded result.
         return await asyncio.shield(
             asyncio.ensure_future(self._run_once(call, call.once)),
         )
 
     async def _run_once(self, call: StageCall, once: OnceKey) -> StageAnswer:
         with self._context.drain.serving():
-            return await self._once.run(call, once)
+            return await self._once_executor.run(call, once)
 
     async def _stream(
         self,
@@ -88,7 +91,9 @@
         async def emit(line: StreamLine) -> None:
             await response.write(msgspec.json.encode(line) + _LINE_END)
 
-        answer = self._gate.seal(await self._gate.run(call, emit))
+        answer = self._executor.finalize_answer(
+            await self._executor.run(call, emit)
+        )
         await emit(StreamLine(answer=answer))
         await response.write_eof()
         return response
--- a/packages/ragworthollow-daemon/src/ragworthollow_daemon/sidecar/upstream_client.py
+++ b/packages/ragworthollow-daemon/src/ragworthollow_daemon/sidecar/upstream_client.py
@@ -1,4 +1,4 @@
-"""Call the upstream beside this sidecar."""
+"""Call the upstream next to this sidecar."""
 
 import hashlib
 from collections.abc import AsyncIterator, Awaitable, Callable
@@ -14,7 +14,7 @@
 from ragworthollow_daemon.sidecar.upstream_messages import (
     CompletionChunk,
     Generation,
-    UpstreamAnswer,
+    UpstreamResponse,
 )
 from ragworthollow_daemon.sidecar.upstream_result import UpstreamResult
 
@@ -29,14 +29,14 @@
 
 class UpstreamClient:
     """
-    Speak the upstream's protocol and classify how a call ended.
+    Call the upstream and classify the outcome of each call.
 
     Parameters
     ----------
     session : aiohttp.ClientSession
-        Session without our secret.
+        Session that doesn't send the shared secret.
     base_url : str
-        Address of the upstream.
+        Base URL of the upstream.
     """
 
     def __init__(
@@ -55,29 +55,31 @@
         remaining_ms: float,
     ) -> UpstreamResult:
         """
-        Run one call to its end.
+        Run one call and return its result.
 
         Parameters
         ----------
         call : StageCall
-            What to run.
+            Call to run.
         emit : callable
-            Takes each token of a stream.
+            Receives each token of a stream.
         remaining_ms : float
-            Time left.
+            Time until the deadline.
 
         Returns
         -------
         UpstreamResult
-            Never raises for what the upstream does; a cancellation closes
-            the connection, which cancels the work.
+            Errors of the upstream are returned, not raised. Cancellation
+            closes the connection, which cancels the work on the upstream.
         """
-        path, message = _render(call)
+        path, message = _build_request(call)
         body = MarkedBody(msgspec.json.encode(message))
         try:
-            return await self._exchange(call, emit, remaining_ms, path, body)
+            return await self._send_request(
+                call, emit, remaining_ms, path, body
+            )
         except (TimeoutError, aiohttp.ClientError, OSError) as error:
-            return _classify(error, body)
+            return _classify_error(error, body)
         except msgspec.DecodeError as error:
             return UpstreamResult(
                 outcome=Outcome.unknown,
@@ -85,7 +87,7 @@
                 detail=str(error),
             )
 
-    async def _exchange(
+    async def _send_request(
         self,
         call: StageCall,
         emit: Emit,
@@ -99,13 +101,13 @@
             timeout=get_timeout(remaining_ms),
         ) as response:
             if response.status >= _BAD_REQUEST:
-                return await _explain_status(response)
+                return await _classify_status(response)
             if call.kind is StageKind.generate:
                 return await _read_stream(call, response, emit)
-            return _check_answer(call, await response.read())
+            return _decode_response(call, await response.read())
 
 
-def _render(call: StageCall) -> tuple[str, dict[str, object]]:
+def _build_request(call: StageCall) -> tuple[str, dict[str, object]]:
     if call.kind is StageKind.generate:
         return '/v1/completions', {
             'model': call.model,
@@ -137,35 +139,36 @@
     Parameters
     ----------
     organisation : str
-        Whose prompt it is.
+        Organisation that sent the prompt.
 
     Returns
     -------
     str
-        Equal prompts of two organisations never share a cached prefix, so
-        that neither can time the other's work.
+        Salt that differs for each organisation. Equal prompts of two
+        organisations never share a cached prefix, so that neither can infer
+        the other's prompts from response times.
     """
     return hashlib.sha256(f'salt:{organisation}'.encode()).hexdigest()[:16]
 
 
-def _check_answer(call: StageCall, body: bytes) -> UpstreamResult:
-    answer = msgspec.json.decode(body, type=UpstreamAnswer)
-    if answer.request_id != call.request_id:
-        # A crossed answer belongs to somebody else's request; ours may or
-        # may not have run.
+def _decode_response(call: StageCall, body: bytes) -> UpstreamResult:
+    response = msgspec.json.decode(body, type=UpstreamResponse)
+    if response.request_id != call.request_id:
+        # The response belongs to another request; it is unknown whether this
+        # request has run.
         return UpstreamResult(
             outcome=Outcome.unknown,
             reason=Reason.mismatched_answer,
             detail='the upstream answered another request',
         )
-    return UpstreamResult(outcome=Outcome.done, output=answer.output)
+    return UpstreamResult(outcome=Outcome.done, output=response.output)
 
 
-async def _explain_status(response: aiohttp.ClientResponse) -> UpstreamResult:
+async def _classify_status(response: aiohttp.ClientResponse) -> UpstreamResult:
     detail = (await response.text())[:200]
     if response.status == _CONFLICT:
-        # The published meaning of this status: the model is not loaded and
-        # nothing has run.
+        # The upstream protocol defines this status as: the model is not loaded
+        # and nothing has run.
         return UpstreamResult(
             outcome=Outcome.not_run,
             reason=Reason.model_not_loaded,
@@ -178,7 +181,7 @@
     )
 
 
-def _classify(error: Exception, body: MarkedBody) -> UpstreamResult:
+def _classify_error(error: Exception, body: MarkedBody) -> UpstreamResult:
     if not body.started:
         return UpstreamResult(
             outcome=Outcome.not_run,
@@ -208,7 +211,7 @@
             return UpstreamResult(
                 outcome=Outcome.unknown,
                 reason=Reason.mismatched_answer,
-                detail='the stream carries another request or offset',
+                detail='a stream event has another request id or offset',
             )
         texts.append(choice.text)
         await emit(StreamLine(offset=choice.index, token=choice.text))
@@ -217,7 +220,7 @@
         return UpstreamResult(
             outcome=Outcome.unknown,
             reason=Reason.truncated,
-            detail=f'the stream broke off after {len(texts)} tokens',
+            detail=f'the stream ended early, after {len(texts)} tokens',
         )
     generation = Generation(
         text=''.join(texts),
--- a/packages/ragworthollow-daemon/src/ragworthollow_daemon/sidecar/upstream_result.py
+++ b/packages/ragworthollow-daemon/src/ragworthollow_daemon/sidecar/upstream_result.py
@@ -1,4 +1,4 @@
-"""Define how a call to the upstream ended."""
+"""Define the result of a call to the upstream."""
 
 import msgspec
 
@@ -8,18 +8,18 @@
 
 class UpstreamResult(Message):
     """
-    Hold the end of one call to the upstream.
+    Hold the result of one call to the upstream.
 
     Attributes
     ----------
     outcome : Outcome
-        What is known of its effect.
+        Whether the call ran, as far as known.
     output : Raw
-        Output as JSON when `done`.
+        Output as JSON if the outcome is `done`.
     reason : Reason or None
-        Why it is not `done`.
+        Why the outcome is not `done`.
     detail : str
-        One sentence.
+        Description of the failure in one sentence.
     """
 
     outcome: Outcome
--- a/packages/ragworthollow/src/ragworthollow/once/__init__.py
+++ b/packages/ragworthollow/src/ragworthollow/once/__init__.py
@@ -1,7 +1,7 @@
 """Run non-repeatable calls at most once, across crashes and retries."""
 
 from ragworthollow.once.assignment import Assignment, Member, RangeOwner
-from ragworthollow.once.ledger import Ledger
+from ragworthollow.once.ledger import KeyRegistry
 from ragworthollow.once.lookup import LookupAnswer, LookupState
 from ragworthollow.once.ownership import Ownership
 from ragworthollow.once.record import KeyRecord, RecordState
@@ -9,7 +9,7 @@
 __all__ = (
     'Assignment',
     'KeyRecord',
-    'Ledger',
+    'KeyRegistry',
     'LookupAnswer',
     'LookupState',
     'Member',
--- a/packages/ragworthollow/src/ragworthollow/once/assignment.py
+++ b/packages/ragworthollow/src/ragworthollow/once/assignment.py
@@ -1,4 +1,4 @@
-"""Define who owns which keys of a pool."""
+"""Define which process owns which keys of a pool."""
 
 import msgspec
 import xxhash
@@ -10,18 +10,19 @@
 
 class Member(Message):
     """
-    List a sidecar that may write the assignment.
+    Describe a sidecar that may write the assignment.
 
     Attributes
     ----------
     instance : str
-        Its name.
+        Name of the instance.
     incarnation : str
-        The process; a restarted one has lost its promises and joins anew.
+        Id of the process; a restarted process has lost its promises and joins
+        again.
     address : str
         `IP:PORT`.
     joined_ms : int
-        When it became a member, Unix epoch.
+        When the process became a member, in milliseconds of Unix time.
     """
 
     instance: str
@@ -37,10 +38,10 @@
     Attributes
     ----------
     instance, incarnation : str
-        The process; a restarted one has another incarnation.
+        The owning process; a restarted process has another incarnation.
     since_ms : int
-        Keys born before may have been run by an earlier owner whose records
-        are lost, Unix epoch.
+        Unix time in milliseconds; keys created earlier may have been run by a
+        previous owner whose records are lost.
     """
 
     instance: str
@@ -50,16 +51,16 @@
 
 class Assignment(Message):
     """
-    Hold the record that the platform keeps for one pool.
+    Hold the assignment that the platform stores for one pool.
 
     Attributes
     ----------
     epoch : int
-        Grows by one with each change; 0 means that none exists.
+        Incremented by each change; 0 if no assignment exists.
     members : tuple of Member
         The only processes that may write the next epoch.
     ranges : tuple of RangeOwner
-        Owner of each range, by its index.
+        Owner of each range, by index of the range.
     """
 
     epoch: int = 0
@@ -67,15 +68,17 @@
     ranges: tuple[RangeOwner, ...] = ()
 
     def get_owner(self, key: str) -> RangeOwner | None:
-        """Return the owner of a key; None while there is no record."""
+        """Return the owner of a key; None if no assignment exists."""
         if not self.ranges:
             return None
         return self.ranges[get_range(key)]
 
     def get_member(self, instance: str) -> Member | None:
-        """Return a member by name."""
-        found = (one for one in self.members if one.instance == instance)
-        return next(found, None)
+        """Return the member of an instance; None if it is not a member."""
+        matches = (
+            member for member in self.members if member.instance == instance
+        )
+        return next(matches, None)
 
 
 def get_range(key: str) -> int:
@@ -90,48 +93,48 @@
     Returns
     -------
     int
-        0 up to the number of ranges.
+        From 0 up to, but not including, the number of ranges.
     """
     return xxhash.xxh64_intdigest(key.encode()) % global_settings.ONCE_RANGES
 
 
 def get_preferred(index: int, instances: list[str]) -> str:
     """
-    Return the instance that should own a range among those alive.
+    Return the live instance that should own a range.
 
     Parameters
     ----------
     index : int
-        The range.
+        Index of the range.
     instances : list of str
-        Names of the members that are alive; not empty.
+        Names of the live members; not empty.
 
     Returns
     -------
     str
-        The same for everyone who asks with the same instances.
+        Same result in every process for the same instances.
     """
     return max(instances, key=lambda name: get_rank(f'range/{index}', name))
 
 
 def decode_assignment(text: str) -> Assignment:
     """
-    Decode the stored record.
+    Decode the stored assignment.
 
     Parameters
     ----------
     text : str
-        JSON, or empty when the key is absent.
+        JSON, or empty if the key is absent.
 
     Returns
     -------
     Assignment
-        Epoch 0 when absent.
+        Assignment with epoch 0 if the key is absent.
 
     Raises
     ------
     msgspec.DecodeError
-        The record is damaged.
+        The stored text is not a valid assignment.
     """
     if not text:
         return Assignment()
--- a/packages/ragworthollow/src/ragworthollow/once/ledger.py
+++ b/packages/ragworthollow/src/ragworthollow/once/ledger.py
@@ -1,4 +1,4 @@
-"""Keep the records of keys as long as a repeat may come."""
+"""Store the records of keys for as long as a retry may arrive."""
 
 from collections.abc import Iterable
 
@@ -7,17 +7,17 @@
 from ragworthollow.once.record import KeyRecord, RecordState
 
 
-class Ledger:
+class KeyRegistry:
     """
-    Remember keys until they are too old to be accepted again.
+    Store key records until the keys are too old to be accepted again.
 
-    Nothing is forgotten early: when the memory is used up, new keys are
-    refused instead, since a forgotten key could run a second time.
+    Records are never evicted early, since a key without its record could run
+    a second time: when the memory limit is reached, new keys are refused.
 
     Parameters
     ----------
     limit_bytes : int
-        Memory for records.
+        Memory limit of the records, in bytes.
     """
 
     def __init__(
@@ -33,11 +33,11 @@
         return len(self._records)
 
     def get(self, key: str) -> KeyRecord | None:
-        """Return the record of a key."""
+        """Return the record of a key; None if there is none."""
         return self._records.get(key)
 
     def is_full(self) -> bool:
-        """Tell whether new keys have to be refused."""
+        """Return whether new keys have to be refused."""
         return self.size_bytes >= self._limit_bytes
 
     def put(self, record: KeyRecord) -> None:
@@ -47,13 +47,13 @@
         self.size_bytes += record.get_size_bytes()
 
     def remove(self, key: str) -> None:
-        """Drop a record, only when its call provably never ran."""
+        """Remove a record; only for calls that are certain not to have run."""
         known = self._records.pop(key, None)
         if known is not None:
             self.size_bytes -= known.get_size_bytes()
 
     def merge(self, records: Iterable[KeyRecord]) -> None:
-        """Take over records; what is known here to have ended stays."""
+        """Add records; records of calls that have ended here are kept."""
         for record in records:
             known = self.get(record.key)
             if known is None or known.state is RecordState.running:
@@ -68,31 +68,31 @@
         ]
 
     def has_running(self, index: int) -> bool:
-        """Tell whether a call of this range is still running."""
+        """Return whether a call of this range is still running."""
         return any(
             record.state is RecordState.running
             for record in self.get_range_records(index)
         )
 
-    def forget_old(self, now_wall_ms: float) -> int:
+    def remove_expired(self, now_wall_ms: float) -> int:
         """
-        Drop ended records whose keys are refused as too old by now.
+        Remove records of ended calls whose keys are now refused as too old.
 
         Returns
         -------
         int
-            Number of records dropped.
+            Number of records removed.
         """
-        kept_ms = (
+        retention_ms = (
             global_settings.KEY_MAX_AGE_MS
             + 2 * global_settings.KEY_FUTURE_MARGIN_MS
         )
-        old = [
+        expired = [
             record.key
             for record in self._records.values()
             if record.state is not RecordState.running
-            and record.born_ms + kept_ms < now_wall_ms
+            and record.born_ms + retention_ms < now_wall_ms
         ]
-        for key in old:
+        for key in expired:
             self.remove(key)
-        return len(old)
+        return len(expired)
--- a/packages/ragworthollow/src/ragworthollow/once/lookup.py
+++ b/packages/ragworthollow/src/ragworthollow/once/lookup.py
@@ -1,4 +1,4 @@
-"""Define what an owner says of a key before anything runs."""
+"""Define the response to the lookup of a key."""
 
 import enum
 
@@ -7,7 +7,7 @@
 
 
 class LookupState(enum.StrEnum):
-    """Tell what the owner knows for certain."""
+    """State of a key, as far as the queried process is certain of it."""
 
     absent = 'absent'
     running = 'running'
@@ -19,14 +19,14 @@
 
 class LookupAnswer(Message):
     """
-    Answer a lookup.
+    Hold the response to a lookup.
 
     Attributes
     ----------
     state : LookupState
-        `absent` is said only by an owner that is certain the key never ran.
+        `absent` only if the owner is certain that the key never ran.
     record : KeyRecord or None
-        Present when it has finished.
+        Set if the call has finished.
     """
 
     state: LookupState
--- a/packages/ragworthollow/src/ragworthollow/once/member_key.py
+++ b/packages/ragworthollow/src/ragworthollow/once/member_key.py
@@ -1,20 +1,21 @@
-"""Define the leased key by which a sidecar shows that it is alive."""
+"""Define the key with a lease that announces a live sidecar."""
 
 from ragworthollow.utils.message import Message
 
 
 class MemberKey(Message):
     """
-    Show a live sidecar.
+    Announce a live sidecar.
 
     Attributes
     ----------
     incarnation : str
-        The process.
+        Id of the process.
     address : str
         `IP:PORT`.
     leaving : bool
-        Whether it hands its ranges over and takes no more.
+        Whether the sidecar is shutting down: it transfers its ranges and
+        accepts no more.
     """
 
     incarnation: str
--- a/packages/ragworthollow/src/ragworthollow/once/ownership.py
+++ b/packages/ragworthollow/src/ragworthollow/once/ownership.py
@@ -1,4 +1,4 @@
-"""Decide whether this process is certain to own a key."""
+"""Decide whether this process certainly owns a key."""
 
 import enum
 from dataclasses import dataclass
@@ -14,7 +14,7 @@
 
 
 class Standing(enum.StrEnum):
-    """Say how this process stands to a key."""
+    """Ownership status of a key in this process."""
 
     owner = 'owner'
     not_owner = 'not_owner'
@@ -25,28 +25,30 @@
 @dataclass(frozen=True, kw_only=True, slots=True)
 class OwnershipRules:
     """
-    Hold the durations and guards of the protocol.
+    Hold the durations and guards of the ownership protocol.
 
-    The guards exist so that the exploration in the tests can show that each
-    of them is needed; they are never switched off in a daemon.
+    The guards can be disabled only so that the stateful tests can show that
+    each of them is needed; a daemon never disables them.
 
     Attributes
     ----------
     lease_ttl_ms : float
         Time to live of a lease.
     margin_ms : float
-        Subtracted from every certainty, for timers that fire late.
+        Subtracted from every period of certain ownership, for timers that
+        fire late.
     grant_ms : float
         How long a member promises not to take over from another.
     newcomer_wait_ms : float
-        How long a new member must wait before it may take over, and how
-        long grants may prolong a certainty.
+        How long a new member must wait before it may take over, and the
+        maximum time for which promises may prolong certain ownership.
     skew_ms : float
-        How far ahead of our clock a key may have been stamped: what entries
-        accept, and the difference between the clocks of instances.
+        How far ahead of the local clock the creation time of a key may be:
+        the margin that entries accept plus the clock skew between instances.
     checks_birth, checks_promises, checks_newcomers : bool
-        Guards against lost memory, against takeovers from a member that
-        goes on without the platform, and against members it cannot know.
+        Guards against lost records, against takeovers from a member that
+        continues without the platform, and against members that such a
+        member cannot know of.
     """
 
     lease_ttl_ms: float = global_settings.LEASE_TTL_MS
@@ -63,29 +65,29 @@
 
 class Ownership:
     """
-    Track what this process may be certain of.
+    Track the ownership of key ranges by this process.
 
-    Two ways lead to certainty that no other process owns our ranges:
+    Either condition ensures that no other process owns its ranges:
 
-    - our lease is alive, since a takeover compares our member key as absent
-      within the very transaction that writes the next epoch;
-    - every other member that we know of has promised us time, since only
-      members write the next epoch, and a member we cannot know of joined
-      after our last confirmation and has to wait longer than we go on.
+    - the lease is valid, since a takeover requires the member key to be
+      absent in the same transaction that writes the next epoch;
+    - every other known member has promised not to take over, since only
+      members write the next epoch. An unknown member joined after the last
+      confirmation and has to wait longer than this process continues.
 
-    A process paused between this check and the hand-over of a call does no
-    harm: the key was born before any takeover that happens meanwhile, and a
-    new owner never runs a key born before its ownership.
+    A process that is suspended between this check and sending the call to the
+    upstream is safe: the key was created before any takeover that happens
+    meanwhile, and a new owner never runs a key created before its ownership.
 
-    While a takeover of ours is on its way to the platform, `taking` names
-    the member, and we promise it nothing until the record has changed.
+    While the write of a takeover is in transit to the platform, `taking` names
+    the member, which gets no promise until the assignment has changed.
 
     Parameters
     ----------
     instance, incarnation : str
-        This process.
+        Name and id of this process.
     rules : OwnershipRules
-        Durations and guards.
+        Durations and guards of the protocol.
     """
 
     def __init__(
@@ -102,84 +104,86 @@
         self.moving: frozenset[int] = frozenset()
         self.taking = ''
         self._confirmed_ms = float('-inf')
-        self._grants_ms: dict[str, float] = {}
-        self._promises_ms: dict[str, float] = {}
-        self._known_by: set[str] = set()
+        self._received_until_ms: dict[str, float] = {}
+        self._granted_until_ms: dict[str, float] = {}
+        self._acknowledged_by: set[str] = set()
 
     def learn(self, assignment: Assignment) -> None:
-        """Take in a record that was read; an older epoch is ignored."""
+        """Apply an assignment unless its epoch is older than the known one."""
         if assignment.epoch < self.assignment.epoch:
             return
         self.assignment = assignment
 
     def confirm(self, sent_ms: float) -> None:
         """
-        Note that our lease was alive at a time and the record read after it.
+        Record a valid lease, after which the assignment was read.
 
         Parameters
         ----------
         sent_ms : float
-            Monotonic time at which the renewal was sent.
+            Monotonic time at which the renewal was sent, in milliseconds.
         """
         self._confirmed_ms = max(self._confirmed_ms, sent_ms)
 
     def lose(self) -> None:
-        """Note that our lease has lapsed."""
+        """Record that the lease of this process has expired."""
         self._confirmed_ms = float('-inf')
-        self._grants_ms.clear()
+        self._received_until_ms.clear()
 
     def note_known_by(self, member: str) -> None:
-        """Note that a member has read a record that lists us."""
-        self._known_by.add(member)
+        """Record that a member has read an assignment with this process."""
+        self._acknowledged_by.add(member)
 
     def is_known_by(self, member: str) -> bool:
-        """Tell whether a member has said that it knows of us."""
-        return member in self._known_by
+        """Return whether a member has confirmed that it knows this process."""
+        return member in self._acknowledged_by
 
-    def accept_grant(self, incarnation: str, asked_ms: float) -> None:
+    def record_promise(self, incarnation: str, sent_ms: float) -> None:
         """
-        Note that a member promised us time, counted from our question.
+        Record a promise received, which counts from the sending of the request.
 
         Parameters
         ----------
         incarnation : str
-            Its process: a restarted one no longer knows of the promise.
-        asked_ms : float
-            Monotonic time of the question.
+            Id of the promising process; after a restart it no longer knows
+            of the promise.
+        sent_ms : float
+            Monotonic time at which the request was sent, in milliseconds.
         """
-        self._grants_ms[incarnation] = asked_ms + self.rules.grant_ms
+        self._received_until_ms[incarnation] = sent_ms + self.rules.grant_ms
 
-    def grant(self, asker: str, epoch: int, now_ms: float) -> bool:
+    def grant_promise(self, requester: str, epoch: int, now_ms: float) -> bool:
         """
         Promise a member not to take over from it for a while.
 
         Parameters
         ----------
-        asker : str
-            The member that asks.
+        requester : str
+            Member that requests the promise.
         epoch : int
-            Epoch that the asker knows.
+            Epoch of the assignment that the requester knows.
         now_ms : float
-            Monotonic time.
+            Monotonic time in milliseconds.
 
         Returns
         -------
         bool
-            False when we know of another epoch: it may have lost its ranges.
+            False if the epochs differ, since the requester may have lost its
+            ranges.
         """
-        if epoch != self.assignment.epoch or asker == self.taking:
+        if epoch != self.assignment.epoch or requester == self.taking:
             return False
         if self.get_own_member() is None:
             return False
-        self._promises_ms[asker] = now_ms + self.rules.grant_ms
+        self._granted_until_ms[requester] = now_ms + self.rules.grant_ms
         return True
 
     def is_sure(self, now_ms: float) -> bool:
-        """Tell whether nobody else can own our ranges at this time."""
+        """Return whether no other process can own our ranges at this time."""
         return now_ms < self.get_certain_until_ms()
 
     def get_certain_until_ms(self) -> float:
-        """Return the monotonic time up to which we are certain."""
+        """Return the monotonic time until which ownership is certain."""
         lease_ms = self._confirmed_ms + self.rules.lease_ttl_ms
         others = [
             member.incarnation
@@ -187,29 +191,32 @@
             if member.instance != self.instance
         ]
         granted_ms = min(
-            (self._grants_ms.get(other, float('-inf')) for other in others),
+            (
+                self._received_until_ms.get(other, float('-inf'))
+                for other in others
+            ),
             default=float('-inf'),
         )
-        longest_ms = self._confirmed_ms + self.rules.newcomer_wait_ms
-        prolonged_ms = min(granted_ms, longest_ms)
+        max_prolonged_ms = self._confirmed_ms + self.rules.newcomer_wait_ms
+        prolonged_ms = min(granted_ms, max_prolonged_ms)
         return max(lease_ms, prolonged_ms) - self.rules.margin_ms
 
     def get_own_member(self) -> Member | None:
-        """Return the entry of this very process among the members."""
-        found = self.assignment.get_member(self.instance)
-        if found is None or found.incarnation != self.incarnation:
+        """Return the member of this incarnation; None if it is not listed."""
+        member = self.assignment.get_member(self.instance)
+        if member is None or member.incarnation != self.incarnation:
             return None
-        return found
+        return member
 
     def is_ours(self, owner: RangeOwner) -> bool:
-        """Tell whether a range belongs to this very process."""
+        """Return whether this incarnation owns a range."""
         return (
             owner.instance == self.instance
             and owner.incarnation == self.incarnation
         )
 
-    def get_strays(self, instances: list[str]) -> dict[int, str]:
-        """Return our ranges that one of these should own, and which one."""
+    def get_misplaced_ranges(self, instances: list[str]) -> dict[int, str]:
+        """Return own ranges that should move, with the preferred instance."""
         wanted = {
             index: get_preferred(index, instances)
             for index, owner in enumerate(self.assignment.ranges)
@@ -222,7 +229,7 @@
         }
 
     def owns_any(self) -> bool:
-        """Tell whether any range belongs to this process."""
+        """Return whether this process owns any range."""
         return any(map(self.is_ours, self.assignment.ranges))
 
     def get_standing(self, key: str, born_ms: int, now_ms: float) -> Standing:
@@ -234,14 +241,14 @@
         key : str
             Full once key.
         born_ms : int
-            Its time of birth, Unix epoch.
+            Creation time of the key, in milliseconds of Unix time.
         now_ms : float
-            Monotonic time.
+            Monotonic time in milliseconds.
 
         Returns
         -------
         Standing
-            Only `owner` allows it to run.
+            Only `owner` allows the key to run.
         """
         owner = self.assignment.get_owner(key)
         if owner is None or not self.is_ours(owner):
@@ -261,41 +268,44 @@
         now_wall_ms: float,
     ) -> bool:
         """
-        Tell whether we may take ranges whose owner's lease has lapsed.
+        Return whether the ranges of an owner without a lease may be taken.
 
         Parameters
         ----------
         owner : str
-            The owner that seems gone.
+            Owner whose member key is absent.
         now_ms : float
-            Monotonic time.
+            Monotonic time in milliseconds.
         now_wall_ms : float
-            Unix time.
+            Unix time in milliseconds.
 
         Returns
         -------
         bool
-            False while a promise of ours holds or we are too new to be
-            known to every owner.
+            False while a promise to the owner is valid, or while this
+            process has joined too recently for every owner to know it.
         """
-        me = self.get_own_member()
-        if me is None:
+        own_member = self.get_own_member()
+        if own_member is None:
             return False
-        waited_ms = now_wall_ms - me.joined_ms
+        waited_ms = now_wall_ms - own_member.joined_ms
         if self.rules.checks_newcomers:
-            if not self._is_known_to(owner, waited_ms):
+            if not self._is_known_to_owner(owner, waited_ms):
                 return False
         if not self.rules.checks_promises:
             return True
-        return now_ms >= self._promises_ms.get(owner, float('-inf'))
+        return now_ms >= self._granted_until_ms.get(owner, float('-inf'))
 
-    def _is_known_to(self, owner: str, waited_ms: float) -> bool:
-        if waited_ms >= self.rules.newcomer_wait_ms or owner in self._known_by:
+    def _is_known_to_owner(self, owner: str, waited_ms: float) -> bool:
+        if (
+            waited_ms >= self.rules.newcomer_wait_ms
+            or owner in self._acknowledged_by
+        ):
             return True
-        known = self.assignment.get_member(owner)
-        me = self.get_own_member()
-        if known is None or me is None:
+        owner_member = self.assignment.get_member(owner)
+        own_member = self.get_own_member()
+        if owner_member is None or own_member is None:
             return False
-        # Whoever joined before the owner did is in every record that the
-        # owner ever read as a member.
-        return me.joined_ms < known.joined_ms
+        # A member that joined before the owner is in every assignment that the
+        # owner has read as a member.
+        return own_member.joined_ms < owner_member.joined_ms
--- a/packages/ragworthollow/src/ragworthollow/once/peer_messages.py
+++ b/packages/ragworthollow/src/ragworthollow/once/peer_messages.py
@@ -1,22 +1,22 @@
-"""Define what members of a pool say to each other."""
+"""Define the messages between the members of a pool."""
 
 from ragworthollow.once.assignment import Assignment
 from ragworthollow.once.record import KeyRecord
 from ragworthollow.utils.message import Message
 
 
-class MemberQuestion(Message):
+class MemberRequest(Message):
     """
-    Ask a member for a promise, or to take note of us.
+    Ask a member for a promise, or to register the sender.
 
     Attributes
     ----------
     instance : str
-        Who asks.
+        Name of the requester.
     epoch : int
-        Epoch of the record that the asker knows.
+        Epoch of the assignment that the requester knows.
     assignment : Assignment or None
-        That record, for a member that knows an older one.
+        That assignment, for a member that knows an older epoch.
     """
 
     instance: str
@@ -26,18 +26,19 @@
 
 class MemberReply(Message):
     """
-    Answer a member.
+    Reply to the request of a member.
 
     Attributes
     ----------
     incarnation : str
-        Process that answers.
+        Id of the replying process.
     epoch : int
-        Epoch that it knows.
+        Epoch of the assignment that the replying process knows.
     granted : bool
-        Whether it gives the promise that was asked for.
+        Whether the requested promise is granted.
     assignment : Assignment or None
-        Its record, for an asker that knows an older one.
+        Assignment of the replying process, for a requester that knows an
+        older epoch.
     """
 
     incarnation: str
@@ -48,16 +49,16 @@
 
 class RecordTransfer(Message):
     """
-    Hand the records of ranges to their next owner.
+    Transfer the records of ranges to their next owner.
 
     Attributes
     ----------
     instance : str
-        Present owner.
+        Current owner.
     incarnation : str
-        Process that is to take them.
+        Id of the process that becomes the owner.
     records : tuple of KeyRecord
-        All of them.
+        All records of the ranges.
     """
 
     instance: str
--- a/packages/ragworthollow/src/ragworthollow/once/plan.py
+++ b/packages/ragworthollow/src/ragworthollow/once/plan.py
@@ -9,7 +9,7 @@
 
 
 class Step(enum.StrEnum):
-    """Name a change."""
+    """Kind of a change of an assignment."""
 
     nothing = 'nothing'
     join = 'join'
@@ -22,20 +22,22 @@
 @dataclass(frozen=True, kw_only=True, slots=True)
 class Plan:
     """
-    Hold the next change and what it relies on.
+    Hold the next change and its preconditions.
 
     Attributes
     ----------
     step : Step
-        What is to be done.
+        Kind of the change.
     assignment : Assignment
-        The record to be written.
+        Assignment to write.
     absent : str
-        Member whose key must be absent when it is written; empty for none.
+        Member whose key must be absent when the assignment is written; empty
+        for none.
     target : str
-        Member that must have taken the records of `ranges` before.
+        Member that must have received the records of `ranges` before the
+        write; empty for none.
     ranges : frozenset of int
-        Ranges that move.
+        Ranges whose owner changes.
     """
 
     step: Step
@@ -51,18 +53,18 @@
 @dataclass(frozen=True, kw_only=True, slots=True)
 class View:
     """
-    Hold what was read from the platform and the clocks.
+    Hold the state read from the platform and the clocks.
 
     Attributes
     ----------
     alive : mapping
-        Leased member keys by instance, our own included.
+        Member keys of the live sidecars by instance, including this process.
     now_ms, wall_ms : float
-        Monotonic time and Unix time.
+        Monotonic time and Unix time, in milliseconds.
     address : str
-        Our own address.
+        Address of this process.
     leaving : bool
-        Whether we are stopping.
+        Whether this process is shutting down.
     """
 
     alive: Mapping[str, MemberKey]
--- a/packages/ragworthollow/src/ragworthollow/once/planner.py
+++ b/packages/ragworthollow/src/ragworthollow/once/planner.py
@@ -16,19 +16,19 @@
 
 def plan_step(ownership: Ownership, view: View) -> Plan:
     """
-    Choose the one change to try next.
+    Choose the next change to try.
 
     Parameters
     ----------
     ownership : Ownership
-        What this process knows.
+        Ownership state of this process.
     view : View
-        What it has just read.
+        State just read from the platform.
 
     Returns
     -------
     Plan
-        A change for one compare-and-swap, or nothing.
+        Change for one compare-and-swap, or `NOTHING`.
     """
     for planner in (_plan_join, _plan_reclaim, _plan_take_over, _plan_move):
         plan = planner(ownership, view)
@@ -38,7 +38,7 @@
 
 
 def _plan_join(ownership: Ownership, view: View) -> Plan:
-    known = ownership.assignment
+    current = ownership.assignment
     if view.leaving or ownership.get_own_member() is not None:
         return NOTHING
     me = Member(
@@ -47,122 +47,135 @@
         address=view.address,
         joined_ms=int(view.wall_ms),
     )
-    ranges = known.ranges
-    if not known.epoch:
-        # Nobody ever ran a key of this pool, so that none is too old.
+    ranges = current.ranges
+    if not current.epoch:
+        # No process has ever run a key of this pool, so every key may run,
+        # however old it is.
         first = RangeOwner(
             instance=ownership.instance,
             incarnation=ownership.incarnation,
         )
         ranges = (first,) * global_settings.ONCE_RANGES
     others = tuple(
-        one for one in known.members if one.instance != ownership.instance
+        member
+        for member in current.members
+        if member.instance != ownership.instance
     )
     return Plan(
         step=Step.join,
-        assignment=_advance(known, (*others, me), ranges),
+        assignment=_make_next_epoch(current, (*others, me), ranges),
     )
 
 
 def _plan_reclaim(ownership: Ownership, view: View) -> Plan:
-    known = ownership.assignment
+    current = ownership.assignment
     stale = [
         index
-        for index, owner in enumerate(known.ranges)
+        for index, owner in enumerate(current.ranges)
         if owner.instance == ownership.instance and not ownership.is_ours(owner)
     ]
     if not stale or view.leaving:
         return NOTHING
-    # The earlier process of this instance is dead, since we could bind its
-    # port; its records are gone.
-    mine = _own_from_now(ownership, view)
-    ranges = _replace(known, dict.fromkeys(stale, mine))
+    # The earlier process of this instance has terminated, since this process
+    # could bind its port; the records of the earlier process are lost.
+    mine = _make_own_range(ownership, view)
+    ranges = _replace_owners(current, dict.fromkeys(stale, mine))
     return Plan(
         step=Step.reclaim,
-        assignment=_advance(known, known.members, ranges),
+        assignment=_make_next_epoch(current, current.members, ranges),
     )
 
 
 def _plan_take_over(ownership: Ownership, view: View) -> Plan:
-    known = ownership.assignment
+    current = ownership.assignment
     if view.leaving:
         return NOTHING
-    for member in known.members:
-        gone = member.instance
-        if gone in view.alive or gone == ownership.instance:
+    for member in current.members:
+        absent = member.instance
+        if absent in view.alive or absent == ownership.instance:
             continue
-        if not ownership.may_take_over(gone, view.now_ms, view.wall_ms):
+        if not ownership.may_take_over(absent, view.now_ms, view.wall_ms):
             continue
-        return _make_take_over(ownership, view, gone)
+        return _make_take_over(ownership, view, absent)
     return NOTHING
 
 
-def _make_take_over(ownership: Ownership, view: View, gone: str) -> Plan:
-    known = ownership.assignment
-    mine = _own_from_now(ownership, view)
+def _make_take_over(ownership: Ownership, view: View, absent: str) -> Plan:
+    current = ownership.assignment
+    mine = _make_own_range(ownership, view)
     taken = {
         index: mine
-        for index, owner in enumerate(known.ranges)
-        if owner.instance == gone
+        for index, owner in enumerate(current.ranges)
+        if owner.instance == absent
     }
-    members = tuple(one for one in known.members if one.instance != gone)
+    members = tuple(
+        member for member in current.members if member.instance != absent
+    )
     return Plan(
         step=Step.take_over,
-        assignment=_advance(known, members, _replace(known, taken)),
-        absent=gone,
+        assignment=_make_next_epoch(
+            current, members, _replace_owners(current, taken)
+        ),
+        absent=absent,
         ranges=frozenset(taken),
     )
 
 
 def _plan_move(ownership: Ownership, view: View) -> Plan:
-    known = ownership.assignment
+    current = ownership.assignment
     stable = [
         member.instance
-        for member in known.members
+        for member in current.members
         if member.instance in view.alive
         and not view.alive[member.instance].leaving
     ]
     if not stable or not ownership.is_sure(view.now_ms):
         return NOTHING
-    away = ownership.get_strays(stable)
-    if not away:
+    misplaced = ownership.get_misplaced_ranges(stable)
+    if not misplaced:
         return NOTHING
-    target = min(away.values())
-    ranges = frozenset(index for index, name in away.items() if name == target)
+    target = min(misplaced.values())
+    ranges = frozenset(
+        index for index, name in misplaced.items() if name == target
+    )
     moved = {
         index: RangeOwner(
             instance=target,
             incarnation=view.alive[target].incarnation,
-            since_ms=known.ranges[index].since_ms,
+            since_ms=current.ranges[index].since_ms,
         )
         for index in ranges
     }
     return Plan(
         step=Step.move,
-        assignment=_advance(known, known.members, _replace(known, moved)),
+        assignment=_make_next_epoch(
+            current, current.members, _replace_owners(current, moved)
+        ),
         target=target,
         ranges=ranges,
     )
 
 
 def _plan_leave(ownership: Ownership, view: View) -> Plan:
-    known = ownership.assignment
-    is_member = known.get_member(ownership.instance) is not None
+    current = ownership.assignment
+    is_member = current.get_member(ownership.instance) is not None
     owns_any = any(
-        owner.instance == ownership.instance for owner in known.ranges
+        owner.instance == ownership.instance for owner in current.ranges
     )
     if not view.leaving or not is_member or owns_any:
         return NOTHING
     members = tuple(
-        one for one in known.members if one.instance != ownership.instance
+        member
+        for member in current.members
+        if member.instance != ownership.instance
     )
     return Plan(
         step=Step.leave,
-        assignment=_advance(known, members, known.ranges),
+        assignment=_make_next_epoch(current, members, current.ranges),
     )
 
 
-def _own_from_now(ownership: Ownership, view: View) -> RangeOwner:
+def _make_own_range(ownership: Ownership, view: View) -> RangeOwner:
     return RangeOwner(
         instance=ownership.instance,
         incarnation=ownership.incarnation,
@@ -170,23 +183,23 @@
     )
 
 
-def _replace(
-    known: Assignment,
+def _replace_owners(
+    current: Assignment,
     changed: Mapping[int, RangeOwner],
 ) -> tuple[RangeOwner, ...]:
     return tuple(
-        changed.get(index, owner) for index, owner in enumerate(known.ranges)
+        changed.get(index, owner) for index, owner in enumerate(current.ranges)
     )
 
 
-def _advance(
-    known: Assignment,
+def _make_next_epoch(
+    current: Assignment,
     members: tuple[Member, ...],
     ranges: tuple[RangeOwner, ...],
 ) -> Assignment:
     return msgspec.structs.replace(
-        known,
-        epoch=known.epoch + 1,
+        current,
+        epoch=current.epoch + 1,
         members=members,
         ranges=ranges,
     )
--- a/packages/ragworthollow/src/ragworthollow/once/promises.py
+++ b/packages/ragworthollow/src/ragworthollow/once/promises.py
@@ -1,14 +1,14 @@
-"""Ask for and give promises between members."""
+"""Request and grant promises between members."""
 
 import msgspec
 
 from ragworthollow.once.ownership import Ownership
-from ragworthollow.once.peer_messages import MemberQuestion, MemberReply
+from ragworthollow.once.peer_messages import MemberReply, MemberRequest
 
 
-def make_question(ownership: Ownership) -> MemberQuestion:
-    """Make the question of a member that wants a promise."""
-    return MemberQuestion(
+def make_question(ownership: Ownership) -> MemberRequest:
+    """Return the request for a promise from another member."""
+    return MemberRequest(
         instance=ownership.instance,
         epoch=ownership.assignment.epoch,
     )
@@ -16,85 +16,85 @@
 
 def reply_to(
     ownership: Ownership,
-    question: MemberQuestion,
+    request: MemberRequest,
     now_ms: float,
 ) -> MemberReply:
     """
-    Give a promise, or say why there is none.
+    Grant a promise, or return why it is not granted.
 
-    Only members that know the same record promise each other anything.  The
-    platform may have gone away before one of them read the newest record;
-    then the other one shows it, or both would refuse keys until the platform
-    is back.
+    Members grant each other promises only if they know the same assignment.
+    The platform may have become unavailable before one of them read the
+    newest assignment; the other member then sends it, since otherwise both
+    would refuse keys until the platform is available again.
 
     Parameters
     ----------
     ownership : Ownership
-        Of the member that is asked.
-    question : MemberQuestion
-        What is asked.
+        State of the member that receives the request.
+    request : MemberRequest
+        Request received.
     now_ms : float
-        Monotonic time.
+        Monotonic time in milliseconds.
 
     Returns
     -------
     MemberReply
-        Carries the newer record when the asker knows an older one.
+        Includes the assignment if the requester knows an older epoch.
     """
-    if question.assignment is not None:
-        ownership.learn(question.assignment)
-    granted = ownership.grant(question.instance, question.epoch, now_ms)
+    if request.assignment is not None:
+        ownership.learn(request.assignment)
+    granted = ownership.grant_promise(request.instance, request.epoch, now_ms)
     known = ownership.assignment
     return MemberReply(
         incarnation=ownership.incarnation,
         epoch=known.epoch,
         granted=granted,
-        assignment=known if known.epoch > question.epoch else None,
+        assignment=known if known.epoch > request.epoch else None,
     )
 
 
 def show_record(
     ownership: Ownership,
-    question: MemberQuestion,
+    request: MemberRequest,
     reply: MemberReply,
-) -> MemberQuestion | None:
+) -> MemberRequest | None:
     """
-    Ask again with our record when the member knows an older one.
+    Return a request with our assignment if the member knows an older one.
 
     Returns
     -------
-    MemberQuestion or None
-        None when the reply stands.
+    MemberRequest or None
+        None if the reply is final.
     """
-    if reply.epoch >= question.epoch:
+    if reply.epoch >= request.epoch:
         return None
-    return msgspec.structs.replace(question, assignment=ownership.assignment)
+    return msgspec.structs.replace(request, assignment=ownership.assignment)
 
 
 def take_reply(
     ownership: Ownership,
     reply: MemberReply,
-    asked_ms: float,
+    sent_ms: float,
 ) -> bool:
     """
-    Take a reply in.
+    Apply the reply of a member.
 
     Parameters
     ----------
     ownership : Ownership
-        Of the member that asked.
+        State of the member that sent the request.
     reply : MemberReply
-        What was said.
-    asked_ms : float
-        Monotonic time of the question.
+        Reply received.
+    sent_ms : float
+        Monotonic time at which the request was sent, in milliseconds.
 
     Returns
     -------
     bool
-        Whether it is a promise.
+        Whether the promise was granted.
     """
     if reply.granted:
-        ownership.accept_grant(reply.incarnation, asked_ms)
+        ownership.record_promise(reply.incarnation, sent_ms)
     elif reply.assignment is not None:
         ownership.learn(reply.assignment)
     return reply.granted
--- a/packages/ragworthollow/src/ragworthollow/once/record.py
+++ b/packages/ragworthollow/src/ragworthollow/once/record.py
@@ -1,4 +1,4 @@
-"""Define what an owner remembers of a key."""
+"""Define the record that an owner stores for a key."""
 
 import enum
 
@@ -6,11 +6,11 @@
 
 from ragworthollow.utils.message import Message
 
-_OVERHEAD_BYTES = 600
+_RECORD_OVERHEAD_BYTES = 600
 
 
 class RecordState(enum.StrEnum):
-    """Tell how far the call of a key has come."""
+    """State of the call of a key."""
 
     running = 'running'
     done = 'done'
@@ -20,26 +20,26 @@
 
 class KeyRecord(Message):
     """
-    Remember one key.
+    Hold the state and result of the call of one key.
 
     Attributes
     ----------
     key : str
         Full once key.
     born_ms : int
-        Its time of birth, Unix epoch.
+        Creation time of the key, in milliseconds of Unix time.
     state : RecordState
-        How far it has come.
+        State of the call.
     request_id : str
-        Request that ran it.
+        Id of the request that ran the call.
     fingerprint : str
-        Hash of that request's body.
+        Hash of the body of that request.
     output : Raw
-        Output of the call when `done`.
+        Output of the call if `done`.
     earlier : dict
-        Outputs of the stages before, part of the same whole answer.
+        Outputs of the earlier stages, part of the same complete answer.
     detail : str
-        What the upstream said when it failed.
+        Error description of the upstream if the call failed.
     """
 
     key: str
@@ -52,6 +52,6 @@
     detail: str = ''
 
     def get_size_bytes(self) -> int:
-        """Estimate the memory it takes, in bytes."""
+        """Return the estimated memory of the record, in bytes."""
         earlier = sum(map(len, self.earlier.values()))
-        return _OVERHEAD_BYTES + len(self.output) + earlier
+        return _RECORD_OVERHEAD_BYTES + len(self.output) + earlier
