--- a/packages/ragworthollow-daemon/src/ragworthollow_daemon/sidecar/member_relations.py
+++ b/packages/ragworthollow-daemon/src/ragworthollow_daemon/sidecar/member_relations.py
@@ -46,7 +46,7 @@
         self._name = context.settings.instance
 
     async def request_promises(self) -> None:
-        """Prolong ownership by promises while the platform is unavailable."""
+        """Prolong ownership without the platform, if all members promise it."""
         now_ms = get_monotonic_ms()
         lease_ms = self._context.settings.lease_ttl_ms
         remaining_ms = self._ownership.get_certain_until_ms() - now_ms
--- a/packages/ragworthollow-daemon/src/ragworthollow_daemon/sidecar/once_agent.py
+++ b/packages/ragworthollow-daemon/src/ragworthollow_daemon/sidecar/once_agent.py
@@ -105,7 +105,7 @@
         return is_clean
 
     async def pause(self) -> None:
-        """Wait for the next interval or until a change was applied."""
+        """Wait for the next interval, or until a change or a shutdown."""
         interval_ms = min(
             self._context.settings.lease_ttl_ms
             / global_settings.RENEWALS_PER_LEASE,
@@ -140,7 +140,7 @@
         self._wake.set()
 
     async def _move_ranges(self, plan: Plan) -> None:
-        """Stop running keys of the ranges and transfer their records first."""
+        """Stop running keys of the ranges, transfer records, then commit."""
         self._ownership.moving |= plan.ranges
         if await self._transfer_records(plan):
             await self._commit(plan)
--- a/packages/ragworthollow-daemon/src/ragworthollow_daemon/sidecar/once_gate.py
+++ b/packages/ragworthollow-daemon/src/ragworthollow_daemon/sidecar/once_gate.py
@@ -87,7 +87,7 @@
         Returns
         -------
         StageAnswer
-            Same answer for every call with this key.
+            Result of the call, the same for each retry, or a refusal.
         """
         if once.fresh:
             # The key was never given to another process, so no other process
@@ -95,7 +95,7 @@
             return await self._execute(call)
         record = self._registry.get(once.key)
         if record is None:
-            refused = self._refuse_if_not_owner(call, once)
+            refused = self._refuse_before_start(call, once)
             if refused is not None:
                 return refused
             self._start_execution(call, once)
@@ -139,7 +139,7 @@
             get_monotonic_ms(),
         )
 
-    def _refuse_if_not_owner(
+    def _refuse_before_start(
         self, call: StageCall, once: OnceKey
     ) -> StageAnswer | None:
         standing = self._get_standing(once)
--- a/packages/ragworthollow-daemon/src/ragworthollow_daemon/sidecar/once_routes.py
+++ b/packages/ragworthollow-daemon/src/ragworthollow_daemon/sidecar/once_routes.py
@@ -78,9 +78,7 @@
         """Promise a member not to take over from it for a while."""
         peer_request = await _read_request(request)
         if peer_request is None:
-            return respond(
-                Problem(error='body is not a valid member request'), status=400
-            )
+            return respond(Problem(error='not a question'), status=400)
         return respond(
             reply_to(self._ownership, peer_request, get_monotonic_ms()),
         )
@@ -89,9 +87,7 @@
         """Apply or read an assignment that lists a new member."""
         peer_request = await _read_request(request)
         if peer_request is None:
-            return respond(
-                Problem(error='body is not a valid member request'), status=400
-            )
+            return respond(Problem(error='not a question'), status=400)
         if peer_request.assignment is not None:
             self._ownership.learn(peer_request.assignment)
         elif peer_request.epoch > self._ownership.assignment.epoch:
--- a/packages/ragworthollow-daemon/src/ragworthollow_daemon/sidecar/role.py
+++ b/packages/ragworthollow-daemon/src/ragworthollow_daemon/sidecar/role.py
@@ -94,12 +94,12 @@
 
     async def stop(self, limit_ms: float) -> None:
         """
-        Transfer the key ranges, wait for running calls and release the lease.
+        Refuse new work, transfer the key ranges and finish running calls.
 
         Parameters
         ----------
         limit_ms : float
-            Maximum wait of each phase.
+            Maximum wait for the transfer, and again for running calls.
         """
         if self._has_once_stages():
             await self._agent.leave(limit_ms)
--- a/packages/ragworthollow-daemon/src/ragworthollow_daemon/sidecar/upstream_client.py
+++ b/packages/ragworthollow-daemon/src/ragworthollow_daemon/sidecar/upstream_client.py
@@ -211,7 +211,7 @@
             return UpstreamResult(
                 outcome=Outcome.unknown,
                 reason=Reason.mismatched_answer,
-                detail='a stream event has another request id or offset',
+                detail='the stream carries another request or offset',
             )
         texts.append(choice.text)
         await emit(StreamLine(offset=choice.index, token=choice.text))
@@ -220,7 +220,7 @@
         return UpstreamResult(
             outcome=Outcome.unknown,
             reason=Reason.truncated,
-            detail=f'the stream ended early, after {len(texts)} tokens',
+            detail=f'the stream broke off after {len(texts)} tokens',
         )
     generation = Generation(
         text=''.join(texts),
