--- a/packages/ragworthollow-daemon/src/ragworthollow_daemon/sidecar/once_agent.py
+++ b/packages/ragworthollow-daemon/src/ragworthollow_daemon/sidecar/once_agent.py
@@ -16,7 +16,7 @@
 from ragworthollow_daemon.process_context import ProcessContext
 from ragworthollow_daemon.sidecar.member_client import MemberClient
 from ragworthollow_daemon.sidecar.member_relations import MemberCoordinator
-from ragworthollow_daemon.sidecar.record_reader import Members, RecordReader
+from ragworthollow_daemon.sidecar.record_reader import AssignmentReader, Members
 
 _MILLISECONDS = 1000
 
@@ -50,7 +50,7 @@
         self._registry = registry
         self._name = context.settings.instance
         self._client = MemberClient(session=context.session)
-        self._reader = RecordReader(
+        self._reader = AssignmentReader(
             context=context,
             ownership=ownership,
             pool=pool,
@@ -158,10 +158,10 @@
         meanwhile would be missing from the records that were transferred to
         the next owner.
         """
-        return self._uncertain_write == self._reader.compare_record()
+        return self._uncertain_write == self._reader.compare_assignment()
 
     async def _commit(self, plan: Plan) -> None:
-        compares = [self._reader.compare_record()]
+        compares = [self._reader.compare_assignment()]
         if plan.absent:
             key = self._reader.get_member_key(plan.absent)
             compares.append(Compare(key=key))
@@ -169,10 +169,10 @@
         text = msgspec.json.encode(plan.assignment).decode()
         written = await self._context.key_value.commit(
             compares=compares,
-            puts=[Put(key=self._reader.record_key, text=text)],
+            puts=[Put(key=self._reader.assignment_key, text=text)],
         )
         if isinstance(written, Err):
-            self._uncertain_write = self._reader.compare_record()
+            self._uncertain_write = self._reader.compare_assignment()
         elif written.ok_value:
             self._report(plan)
             self._ownership.learn(plan.assignment)
--- a/packages/ragworthollow-daemon/src/ragworthollow_daemon/sidecar/record_reader.py
+++ b/packages/ragworthollow-daemon/src/ragworthollow_daemon/sidecar/record_reader.py
@@ -20,7 +20,7 @@
 Members = Mapping[str, MemberKey]
 
 
-class RecordReader:
+class AssignmentReader:
     """
     Renew the lease and update the ownership from the platform.
 
@@ -45,8 +45,8 @@
         self._ownership = ownership
         self._prefix = f'once/{pool}/'
         self._name = context.settings.instance
-        self._record = _ABSENT
-        self.record_key = f'{self._prefix}assignment'
+        self._stored_assignment = _ABSENT
+        self.assignment_key = f'{self._prefix}assignment'
         self.lease = MemberLease(
             key_value=context.key_value,
             key=self.get_member_key(self._name),
@@ -86,20 +86,20 @@
             return None
         entries = result.ok_value.found
         absent = Stored(timeline=result.ok_value.timeline)
-        record = entries.get(self.record_key, absent)
-        if record.get_position() > self._record.get_position():
+        stored = entries.get(self.assignment_key, absent)
+        if stored.get_position() > self._stored_assignment.get_position():
             # A write of this process that is still in transit compares the
             # old revision and can no longer apply.
             self._ownership.taking = ''
             self._ownership.moving = frozenset()
-        if record.get_position() >= self._record.get_position():
-            self._record = record
-            self._ownership.learn(decode_assignment(record.text))
+        if stored.get_position() >= self._stored_assignment.get_position():
+            self._stored_assignment = stored
+            self._ownership.learn(decode_assignment(stored.text))
         return entries
 
-    def compare_record(self) -> Compare:
+    def compare_assignment(self) -> Compare:
         """Return the condition that the assignment is unchanged since read."""
-        return compare_with(self.record_key, self._record)
+        return compare_with(self.assignment_key, self._stored_assignment)
 
     def get_member_key(self, instance: str) -> str:
         """Return the key that announces a live member."""
@@ -113,7 +113,7 @@
             written = await self.lease.acquire(
                 self._make_member(),
                 own,
-                self.compare_record(),
+                self.compare_assignment(),
             )
         return isinstance(written, Ok) and written.ok_value
 
--- a/packages/ragworthollow/src/ragworthollow/once/lookup.py
+++ b/packages/ragworthollow/src/ragworthollow/once/lookup.py
@@ -7,7 +7,7 @@
 
 
 class LookupState(enum.StrEnum):
-    """State of a key, as far as the queried process is certain of it."""
+    """Define the states of a key that the queried process can report."""
 
     absent = 'absent'
     running = 'running'
--- a/packages/ragworthollow/src/ragworthollow/once/ownership.py
+++ b/packages/ragworthollow/src/ragworthollow/once/ownership.py
@@ -14,7 +14,7 @@
 
 
 class Standing(enum.StrEnum):
-    """Ownership status of a key in this process."""
+    """Define the ownership status of a key in this process."""
 
     owner = 'owner'
     not_owner = 'not_owner'
@@ -104,8 +104,8 @@
         self.moving: frozenset[int] = frozenset()
         self.taking = ''
         self._confirmed_ms = float('-inf')
-        self._received_until_ms: dict[str, float] = {}
-        self._granted_until_ms: dict[str, float] = {}
+        self._received_promises_ms: dict[str, float] = {}
+        self._granted_promises_ms: dict[str, float] = {}
         self._acknowledged_by: set[str] = set()
 
     def learn(self, assignment: Assignment) -> None:
@@ -128,7 +128,7 @@
     def lose(self) -> None:
         """Record that the lease of this process has expired."""
         self._confirmed_ms = float('-inf')
-        self._received_until_ms.clear()
+        self._received_promises_ms.clear()
 
     def note_known_by(self, member: str) -> None:
         """Record that a member has read an assignment with this process."""
@@ -140,7 +140,7 @@
 
     def record_promise(self, incarnation: str, sent_ms: float) -> None:
         """
-        Record a promise received, which counts from the sending of the request.
+        Record a received promise; it counts from when the request was sent.
 
         Parameters
         ----------
@@ -150,7 +150,7 @@
         sent_ms : float
             Monotonic time at which the request was sent, in milliseconds.
         """
-        self._received_until_ms[incarnation] = sent_ms + self.rules.grant_ms
+        self._received_promises_ms[incarnation] = sent_ms + self.rules.grant_ms
 
     def grant_promise(self, requester: str, epoch: int, now_ms: float) -> bool:
         """
@@ -175,7 +175,7 @@
             return False
         if self.get_own_member() is None:
             return False
-        self._granted_until_ms[requester] = now_ms + self.rules.grant_ms
+        self._granted_promises_ms[requester] = now_ms + self.rules.grant_ms
         return True
 
     def is_sure(self, now_ms: float) -> bool:
@@ -192,7 +192,7 @@
         ]
         granted_ms = min(
             (
-                self._received_until_ms.get(other, float('-inf'))
+                self._received_promises_ms.get(other, float('-inf'))
                 for other in others
             ),
             default=float('-inf'),
@@ -294,7 +294,7 @@
                 return False
         if not self.rules.checks_promises:
             return True
-        return now_ms >= self._granted_until_ms.get(owner, float('-inf'))
+        return now_ms >= self._granted_promises_ms.get(owner, float('-inf'))
 
     def _is_known_to_owner(self, owner: str, waited_ms: float) -> bool:
         if (
--- a/packages/ragworthollow/src/ragworthollow/once/plan.py
+++ b/packages/ragworthollow/src/ragworthollow/once/plan.py
@@ -9,7 +9,7 @@
 
 
 class Step(enum.StrEnum):
-    """Kind of a change of an assignment."""
+    """Name the kind of a change of an assignment."""
 
     nothing = 'nothing'
     join = 'join'
--- a/packages/ragworthollow/src/ragworthollow/once/planner.py
+++ b/packages/ragworthollow/src/ragworthollow/once/planner.py
@@ -41,7 +41,7 @@
     current = ownership.assignment
     if view.leaving or ownership.get_own_member() is not None:
         return NOTHING
-    me = Member(
+    own_member = Member(
         instance=ownership.instance,
         incarnation=ownership.incarnation,
         address=view.address,
@@ -63,7 +63,7 @@
     )
     return Plan(
         step=Step.join,
-        assignment=_make_next_epoch(current, (*others, me), ranges),
+        assignment=_make_next_epoch(current, (*others, own_member), ranges),
     )
 
 
@@ -78,8 +78,8 @@
         return NOTHING
     # The earlier process of this instance has terminated, since this process
     # could bind its port; the records of the earlier process are lost.
-    mine = _make_own_range(ownership, view)
-    ranges = _replace_owners(current, dict.fromkeys(stale, mine))
+    own_range = _make_own_range(ownership, view)
+    ranges = _replace_owners(current, dict.fromkeys(stale, own_range))
     return Plan(
         step=Step.reclaim,
         assignment=_make_next_epoch(current, current.members, ranges),
@@ -102,9 +102,9 @@
 
 def _make_take_over(ownership: Ownership, view: View, absent: str) -> Plan:
     current = ownership.assignment
-    mine = _make_own_range(ownership, view)
+    own_range = _make_own_range(ownership, view)
     taken = {
-        index: mine
+        index: own_range
         for index, owner in enumerate(current.ranges)
         if owner.instance == absent
     }
--- a/packages/ragworthollow/src/ragworthollow/once/promises.py
+++ b/packages/ragworthollow/src/ragworthollow/once/promises.py
@@ -59,7 +59,7 @@
     reply: MemberReply,
 ) -> MemberRequest | None:
     """
-    Return a request with our assignment if the member knows an older one.
+    Return a request with our assignment if the member knows an older epoch.
 
     Returns
     -------
--- a/packages/ragworthollow/src/ragworthollow/once/record.py
+++ b/packages/ragworthollow/src/ragworthollow/once/record.py
@@ -10,7 +10,7 @@
 
 
 class RecordState(enum.StrEnum):
-    """State of the call of a key."""
+    """Define the states of the call of a key."""
 
     running = 'running'
     done = 'done'
