--- a/packages/ragworthollow-daemon/src/ragworthollow_daemon/sidecar/once_gate.py
+++ b/packages/ragworthollow-daemon/src/ragworthollow_daemon/sidecar/once_gate.py
@@ -24,14 +24,14 @@
 
 _MILLISECONDS = 1000
 _OWNERSHIP_RETRY_MS = 1000
-_REASONS = {
+_REFUSAL_REASONS = {
     Standing.not_owner: Reason.not_owner,
     Standing.unsure: Reason.ownership_unsure,
     Standing.born_before: Reason.born_before_ownership,
 }
 
 
-_LOOKUPS = {
+_LOOKUP_STATES = {
     Standing.owner: LookupState.absent,
     Standing.not_owner: LookupState.not_owner,
     Standing.unsure: LookupState.uncertain,
@@ -129,10 +129,10 @@
             if record.state is RecordState.running:
                 return LookupAnswer(state=LookupState.running)
             return LookupAnswer(state=LookupState.finished, record=record)
-        standing = self._get_standing(once)
-        return LookupAnswer(state=_LOOKUPS[standing])
+        status = self._get_ownership_status(once)
+        return LookupAnswer(state=_LOOKUP_STATES[status])
 
-    def _get_standing(self, once: OnceKey) -> Standing:
+    def _get_ownership_status(self, once: OnceKey) -> Standing:
         return self._ownership.get_standing(
             once.key,
             once.born_ms,
@@ -142,14 +142,14 @@
     def _refuse_before_start(
         self, call: StageCall, once: OnceKey
     ) -> StageAnswer | None:
-        standing = self._get_standing(once)
-        if standing is Standing.born_before:
-            return self._refuse(call, Outcome.unknown, _REASONS[standing])
-        if standing is not Standing.owner:
+        status = self._get_ownership_status(once)
+        if status is Standing.born_before:
+            return self._refuse(call, Outcome.unknown, _REFUSAL_REASONS[status])
+        if status is not Standing.owner:
             return self._refuse(
                 call,
                 Outcome.not_run,
-                _REASONS[standing],
+                _REFUSAL_REASONS[status],
                 retry_after_ms=_OWNERSHIP_RETRY_MS,
             )
         if self._registry.is_full():
