--- a/packages/ragworthollow-ctl/src/ragworthollow_ctl/__init__.py
+++ b/packages/ragworthollow-ctl/src/ragworthollow_ctl/__init__.py
@@ -1,1 +1,1 @@
-"""Check, show and change configuration from a terminal."""
+"""Command-line tool to check, show and change the configuration."""
--- a/packages/ragworthollow-ctl/src/ragworthollow_ctl/commands/__init__.py
+++ b/packages/ragworthollow-ctl/src/ragworthollow_ctl/commands/__init__.py
@@ -1,1 +1,1 @@
-"""Hold one module for each command."""
+"""Commands of `ragworthctl`, one module each."""
--- a/packages/ragworthollow-ctl/src/ragworthollow_ctl/commands/apply.py
+++ b/packages/ragworthollow-ctl/src/ragworthollow_ctl/commands/apply.py
@@ -1,4 +1,4 @@
-"""Apply a folder."""
+"""Apply the configuration files of a folder."""
 
 import asyncio
 import sys
@@ -16,7 +16,7 @@
 from ragworthollow_ctl.service_client import ServiceClient, make_client
 
 _REFUSED = 1
-_UNSETTLED = 3
+_UNKNOWN_OUTCOME = 3
 
 
 def apply(
@@ -29,46 +29,47 @@
     change_id: str = '',
 ) -> None:
     """
-    Show the difference, then put the owner's files of a folder in force.
+    Show the difference, then activate the owner's files of a folder.
 
-    Exit codes: 0 in force, 1 refused, 2 bad input, 3 not known whether it
-    is in force: apply again with the printed change id to settle it.
+    Exit codes: 0 active, 1 refused or not confirmed, 2 invalid input,
+    3 outcome unknown: apply again with the printed change id to resolve it.
 
     Parameters
     ----------
     folder
         Folder of configuration files.
     owner
-        Owner whose files are applied; the service checks the key.
+        Owner whose files are applied; the service checks that the operator
+        key may change them.
     entry
         Base address of an entry; may be given several times.
     prune
-        Remove files of this owner that the folder lacks.
+        Remove active files of this owner that the folder lacks.
     yes
-        Do not ask before applying.
+        Do not ask for confirmation.
     change_id
-        Of an earlier apply whose answer was lost.
+        Change id of an earlier apply whose response was lost.
     """
     files = open_folder(folder)
     client = make_client(entry or ())
     snapshot = asyncio.run(client.get('snapshot', Snapshot))
-    found = compare(files, snapshot, owner=owner, prune=prune)
-    if found.is_empty() and not change_id:
-        _remember(folder, snapshot)
+    difference = compare(files, snapshot, owner=owner, prune=prune)
+    if difference.is_empty() and not change_id:
+        _save_base(folder, snapshot)
         sys.stdout.write('nothing to change\n')
         return
-    sys.stdout.write('\n'.join(found.lines))
+    sys.stdout.write('\n'.join(difference.lines))
     sys.stdout.write('\n')
     if not yes and not _is_confirmed():
         sys.exit(_REFUSED)
     request = ChangeRequest(
         change_id=change_id or make_identifier(),
         base=read_base(folder),
-        puts=found.puts,
-        removals=found.removals,
+        puts=difference.puts,
+        removals=difference.removals,
     )
-    answer = asyncio.run(client.post('changes', request, ChangeAnswer))
-    _report(folder, client, request, answer)
+    response = asyncio.run(client.post('changes', request, ChangeAnswer))
+    _report_outcome(folder, client, request, response)
 
 
 def _is_confirmed() -> bool:
@@ -77,25 +78,25 @@
     return sys.stdin.readline().strip().lower() == 'y'
 
 
-def _report(
+def _report_outcome(
     folder: Path,
     client: ServiceClient,
     request: ChangeRequest,
-    answer: ChangeAnswer,
+    response: ChangeAnswer,
 ) -> None:
-    if answer.problems:
-        sys.stderr.write(f'{render_messages(answer.problems)}\n')
-    if answer.accepted:
+    if response.problems:
+        sys.stderr.write(f'{render_messages(response.problems)}\n')
+    if response.accepted:
         snapshot = asyncio.run(client.get('snapshot', Snapshot))
-        _remember(folder, snapshot)
-        sys.stdout.write(f'generation {answer.generation} is in force\n')
+        _save_base(folder, snapshot)
+        sys.stdout.write(f'generation {response.generation} is in force\n')
         return
-    sys.stderr.write(f'{answer.reason}: {answer.detail}\n')
-    if answer.may_have_applied:
+    sys.stderr.write(f'{response.reason}: {response.detail}\n')
+    if response.may_have_applied:
         sys.stderr.write(f'change id: {request.change_id}\n')
-        sys.exit(_UNSETTLED)
+        sys.exit(_UNKNOWN_OUTCOME)
     sys.exit(_REFUSED)
 
 
-def _remember(folder: Path, snapshot: Snapshot) -> None:
+def _save_base(folder: Path, snapshot: Snapshot) -> None:
     write_base(folder, snapshot.manifest.get_hashes())
--- a/packages/ragworthollow-ctl/src/ragworthollow_ctl/commands/check.py
+++ b/packages/ragworthollow-ctl/src/ragworthollow_ctl/commands/check.py
@@ -1,4 +1,4 @@
-"""Check a folder offline."""
+"""Check a folder of configuration files offline."""
 
 import sys
 from pathlib import Path
@@ -10,7 +10,7 @@
 
 def check(folder: Path) -> None:
     """
-    Check a folder without calling the service.
+    Check a folder without contacting the service.
 
     Parameters
     ----------
--- a/packages/ragworthollow-ctl/src/ragworthollow_ctl/commands/diff.py
+++ b/packages/ragworthollow-ctl/src/ragworthollow_ctl/commands/diff.py
@@ -1,4 +1,4 @@
-"""Show what an apply would change."""
+"""Show the changes that an apply would make."""
 
 import asyncio
 import sys
@@ -18,7 +18,7 @@
     prune: bool = False,
 ) -> None:
     """
-    Show what an apply of this folder would change, and change nothing.
+    Show what an apply of this folder would change, without applying it.
 
     Parameters
     ----------
@@ -29,12 +29,12 @@
     entry
         Base address of an entry; may be given several times.
     prune
-        Also show files in force that the folder lacks as removed.
+        Also show active files that the folder lacks as removed.
     """
     files = open_folder(folder)
     client = make_client(entry or ())
     snapshot = asyncio.run(client.get('snapshot', Snapshot))
-    found = compare(files, snapshot, owner=owner, prune=prune)
-    lines = found.lines or ('nothing would change',)
+    difference = compare(files, snapshot, owner=owner, prune=prune)
+    lines = difference.lines or ('nothing would change',)
     sys.stdout.write('\n'.join(lines))
     sys.stdout.write('\n')
--- a/packages/ragworthollow-ctl/src/ragworthollow_ctl/commands/history.py
+++ b/packages/ragworthollow-ctl/src/ragworthollow_ctl/commands/history.py
@@ -1,4 +1,4 @@
-"""Show who changed what and when."""
+"""Show the history of configuration changes."""
 
 import asyncio
 import datetime as dt
@@ -7,7 +7,7 @@
 from ragworthollow.configuration.snapshot import Snapshot
 from ragworthollow_ctl.service_client import make_client
 
-_MILLISECONDS = 1000
+_MS_PER_SECOND = 1000
 
 
 def history(*, entry: list[str] | None = None) -> None:
@@ -22,12 +22,12 @@
     client = make_client(entry or ())
     snapshot = asyncio.run(client.get('snapshot', Snapshot))
     for record in snapshot.manifest.history:
-        moment = dt.datetime.fromtimestamp(
-            record.time_ms / _MILLISECONDS,
+        changed_at = dt.datetime.fromtimestamp(
+            record.time_ms / _MS_PER_SECOND,
             tz=dt.UTC,
         )
         files = ' '.join(record.files)
         sys.stdout.write(
-            f'{record.generation}  {moment:%Y-%m-%d %H:%M:%S}Z'
+            f'{record.generation}  {changed_at:%Y-%m-%d %H:%M:%S}Z'
             f'  {record.operator}  {files}  {record.change_id}\n',
         )
--- a/packages/ragworthollow-ctl/src/ragworthollow_ctl/commands/instances.py
+++ b/packages/ragworthollow-ctl/src/ragworthollow_ctl/commands/instances.py
@@ -1,4 +1,4 @@
-"""Show where a gateway sends less, and why."""
+"""Show where a gateway limits its requests, and why."""
 
 import asyncio
 import sys
@@ -10,27 +10,27 @@
     LimitedInstance,
     WarmingInstance,
 )
-from ragworthollow_ctl.gateway_client import ask_gateway
+from ragworthollow_ctl.gateway_client import query_gateway
 
-_SECOND_MS = 1000
+_MS_PER_SECOND = 1000
 
 
 def instances(gateway: str) -> None:
     """
-    Show drained failure domains and throttled instances.
+    Show drained failure domains and rate-limited instances.
 
     Parameters
     ----------
     gateway
         Metrics address of any gateway, IP:PORT.
     """
-    view = asyncio.run(ask_gateway(gateway, INSTANCES_PATH, InstancesView))
+    view = asyncio.run(query_gateway(gateway, INSTANCES_PATH, InstancesView))
     sys.stdout.writelines(f'{line}\n' for line in _render(view))
 
 
 def _render(view: InstancesView) -> Iterator[str]:
     for domain in view.drained:
-        drained_s = domain.drained_ms / _SECOND_MS
+        drained_s = domain.drained_ms / _MS_PER_SECOND
         yield f'{domain.failure_domain}  drained for {drained_s:.0f} s'
     yield from map(_render_warming, view.warming)
     yield from map(_render_limited, view.limited)
@@ -38,22 +38,26 @@
         yield f'{reason}  {count} requests refused'
 
 
-def _render_warming(one: WarmingInstance) -> str:
-    limit = 'any number' if one.burst is None else f'{one.burst} in any second'
+def _render_warming(instance: WarmingInstance) -> str:
+    limit = (
+        'any number'
+        if instance.burst is None
+        else f'{instance.burst} in any second'
+    )
     return (
-        f'{one.instance}  {one.pool}  warms up for'
-        f' {one.left_ms / _SECOND_MS:.1f} s  gets {limit}'
-        f'  {_render_sender(one)}'
+        f'{instance.instance}  {instance.pool}  warms up for'
+        f' {instance.left_ms / _MS_PER_SECOND:.1f} s  gets {limit}'
+        f'  {_render_sender(instance)}'
     )
 
 
-def _render_limited(one: LimitedInstance) -> str:
+def _render_limited(instance: LimitedInstance) -> str:
     return (
-        f'{one.instance}  {one.pool}  takes {one.requests_per_s:g} a second'
-        f' as of {one.named_age_ms / _SECOND_MS:.1f} s ago'
-        f'  {_render_sender(one)}'
+        f'{instance.instance}  {instance.pool}  takes {instance.requests_per_s:g} a second'
+        f' as of {instance.named_age_ms / _MS_PER_SECOND:.1f} s ago'
+        f'  {_render_sender(instance)}'
     )
 
 
-def _render_sender(one: WarmingInstance | LimitedInstance) -> str:
-    return 'from here too' if one.is_sender else 'not from here'
+def _render_sender(instance: WarmingInstance | LimitedInstance) -> str:
+    return 'from here too' if instance.is_sender else 'not from here'
--- a/packages/ragworthollow-ctl/src/ragworthollow_ctl/commands/losses.py
+++ b/packages/ragworthollow-ctl/src/ragworthollow_ctl/commands/losses.py
@@ -1,4 +1,4 @@
-"""Tell from logs which requests were not served, and why."""
+"""Report from logs which requests were not served, and why."""
 
 import sys
 
@@ -10,15 +10,15 @@
 
 def losses() -> None:
     """
-    Read the logs of gateways from standard input; show what was not served.
+    Read gateway logs from standard input; show the requests not served.
 
-    Exit code 1 when no line tells of a request or of a call for pieces.
+    Exit code 1 if no line reports the end of a request or a call for pieces.
     """
     account = LossAccount()
     for text in sys.stdin:
         line = decode_line(text)
         if line is not None:
-            account.take(line)
+            account.add(line)
     if not account.owed and not account.calls_by_pool:
         sys.stderr.write('no line of a gateway on standard input\n')
         sys.exit(_NOTHING_FOUND)
--- a/packages/ragworthollow-ctl/src/ragworthollow_ctl/commands/pull.py
+++ b/packages/ragworthollow-ctl/src/ragworthollow_ctl/commands/pull.py
@@ -1,4 +1,4 @@
-"""Fetch what is in force into a folder."""
+"""Fetch the active configuration into a folder."""
 
 import asyncio
 import sys
@@ -16,12 +16,12 @@
     entry: list[str] | None = None,
 ) -> None:
     """
-    Write the owner's files in force into a folder, to be edited there.
+    Write the owner's active files into a folder, to be edited there.
 
     Parameters
     ----------
     folder
-        Folder to write to; made if missing.
+        Folder to write to; created if missing.
     owner
         Owner whose files are written.
     entry
@@ -30,9 +30,9 @@
     client = make_client(entry or ())
     snapshot = asyncio.run(client.get('snapshot', Snapshot))
     folder.mkdir(parents=True, exist_ok=True)
-    for listed in snapshot.manifest.files:
-        if listed.owner == owner:
-            text = snapshot.files_by_sha256[listed.sha256]
-            (folder / listed.name).write_text(text, encoding='utf-8')
-            sys.stdout.write(f'{listed.name}\n')
+    for file in snapshot.manifest.files:
+        if file.owner == owner:
+            text = snapshot.files_by_sha256[file.sha256]
+            (folder / file.name).write_text(text, encoding='utf-8')
+            sys.stdout.write(f'{file.name}\n')
     write_base(folder, snapshot.manifest.get_hashes())
--- a/packages/ragworthollow-ctl/src/ragworthollow_ctl/commands/quarantine.py
+++ b/packages/ragworthollow-ctl/src/ragworthollow_ctl/commands/quarantine.py
@@ -1,4 +1,4 @@
-"""List the requests that are quarantined."""
+"""List the quarantined requests."""
 
 import asyncio
 import sys
@@ -7,25 +7,25 @@
     QUARANTINE_PATH,
     QuarantinedRequest,
 )
-from ragworthollow_ctl.gateway_client import ask_gateway
+from ragworthollow_ctl.gateway_client import query_gateway
 
-_SECOND_MS = 1000
+_MS_PER_SECOND = 1000
 
 
 def quarantine(gateway: str) -> None:
     """
-    List requests that are quarantined since they crash what runs them.
+    List requests quarantined because they crash the instances that run them.
 
     Parameters
     ----------
     gateway
         Metrics address of any gateway, IP:PORT.
     """
-    found = asyncio.run(
-        ask_gateway(gateway, QUARANTINE_PATH, tuple[QuarantinedRequest, ...]),
+    requests = asyncio.run(
+        query_gateway(gateway, QUARANTINE_PATH, tuple[QuarantinedRequest, ...]),
     )
     sys.stdout.writelines(
-        f'{one.fingerprint}  {one.left_ms / _SECOND_MS:.0f} s'
-        f'  {" ".join(one.crashes)}\n'
-        for one in found
+        f'{request.fingerprint}  {request.left_ms / _MS_PER_SECOND:.0f} s'
+        f'  {" ".join(request.crashes)}\n'
+        for request in requests
     )
--- a/packages/ragworthollow-ctl/src/ragworthollow_ctl/commands/release.py
+++ b/packages/ragworthollow-ctl/src/ragworthollow_ctl/commands/release.py
@@ -1,4 +1,4 @@
-"""Let a request in again."""
+"""Release a request from quarantine."""
 
 import asyncio
 import sys
@@ -8,30 +8,30 @@
     ReleaseAnswer,
     ReleaseOrder,
 )
-from ragworthollow_ctl.gateway_client import ask_gateway
+from ragworthollow_ctl.gateway_client import query_gateway
 
-_UNKNOWN = 1
+_NOT_QUARANTINED = 1
 
 
 def release(fingerprint: str, gateway: str) -> None:
     """
-    Let a request in again at every gateway; exit 1 when it was not quarantined.
+    Release a request at every gateway; exit 1 if it was not quarantined.
 
     Parameters
     ----------
     fingerprint
-        The request, as `ragworthctl quarantine` lists it.
+        Fingerprint of the request, as listed by `ragworthctl quarantine`.
     gateway
-        Metrics address of any gateway, IP:PORT; it tells the others.
+        Metrics address of any gateway, IP:PORT; it notifies the others.
     """
-    answer = asyncio.run(
-        ask_gateway(
+    response = asyncio.run(
+        query_gateway(
             gateway,
             RELEASE_PATH,
             ReleaseAnswer,
             ReleaseOrder(fingerprint=fingerprint),
         ),
     )
-    if not answer.is_released:
+    if not response.is_released:
         sys.stderr.write(f'nothing is known against {fingerprint}\n')
-        sys.exit(_UNKNOWN)
+        sys.exit(_NOT_QUARANTINED)
--- a/packages/ragworthollow-ctl/src/ragworthollow_ctl/commands/show.py
+++ b/packages/ragworthollow-ctl/src/ragworthollow_ctl/commands/show.py
@@ -1,4 +1,4 @@
-"""Show a merged folder and where each value came from."""
+"""Show the merged configuration of a folder and the source of each value."""
 
 import sys
 from pathlib import Path
@@ -13,7 +13,7 @@
 
 def show(folder: Path) -> None:
     """
-    Show the merged result of a folder, and the file behind each value.
+    Show the merged configuration of a folder and the file of each value.
 
     Parameters
     ----------
@@ -23,9 +23,9 @@
     files = open_folder(folder)
     merged = check_files(files)
     for section in SECTIONS:
-        for name, declared in getattr(merged.deployment, section).items():
+        for name, definition in getattr(merged.deployment, section).items():
             path = f'{section}.{name}'
-            text = msgspec.json.encode(declared).decode()
+            text = msgspec.json.encode(definition).decode()
             sys.stdout.write(f'{path}  # {merged.origins[path]}\n  {text}\n')
     if merged.problems:
         sys.stderr.write(f'{render_messages(merged.problems)}\n')
--- a/packages/ragworthollow-ctl/src/ragworthollow_ctl/commands/status.py
+++ b/packages/ragworthollow-ctl/src/ragworthollow_ctl/commands/status.py
@@ -1,4 +1,4 @@
-"""Show the generation in force in every process."""
+"""Show the active configuration generation of every process."""
 
 import asyncio
 import sys
@@ -12,7 +12,7 @@
 
 def status(*, entry: list[str] | None = None) -> None:
     """
-    Show the generation in force in each process; exit 1 when any is behind.
+    Show the active generation of each process; exit 1 if any is behind.
 
     Parameters
     ----------
@@ -21,13 +21,13 @@
     """
     client = make_client(entry or ())
     newest = asyncio.run(client.get('snapshot', Snapshot)).manifest.generation
-    lines = asyncio.run(client.get('fleet', tuple[FleetLine, ...]))
-    sys.stdout.writelines(_render(line, newest) for line in lines)
-    if any(line.generation != newest for line in lines):
+    processes = asyncio.run(client.get('fleet', tuple[FleetLine, ...]))
+    sys.stdout.writelines(_render(process, newest) for process in processes)
+    if any(process.generation != newest for process in processes):
         sys.exit(_BEHIND)
 
 
-def _render(line: FleetLine, newest: int) -> str:
-    known = '-' if line.generation is None else line.generation
-    mark = '' if line.generation == newest else '  behind'
-    return f'{line.instance}  {line.address}  {known}{mark}\n'
+def _render(process: FleetLine, newest: int) -> str:
+    generation = '-' if process.generation is None else process.generation
+    suffix = '' if process.generation == newest else '  behind'
+    return f'{process.instance}  {process.address}  {generation}{suffix}\n'
--- a/packages/ragworthollow-ctl/src/ragworthollow_ctl/difference.py
+++ b/packages/ragworthollow-ctl/src/ragworthollow_ctl/difference.py
@@ -1,4 +1,4 @@
-"""Compare a folder with what is in force."""
+"""Compare a folder with the active configuration."""
 
 import difflib
 from dataclasses import dataclass
@@ -10,16 +10,16 @@
 @dataclass(frozen=True, kw_only=True, slots=True)
 class Difference:
     """
-    Hold what would change.
+    Hold the changes that an apply would make.
 
     Attributes
     ----------
     puts : dict
-        New texts by file name.
+        New file contents by file name.
     removals : tuple of str
-        Files to be removed.
+        Names of the files to remove.
     lines : tuple of str
-        Unified diff.
+        Unified diff of all changes.
     """
 
     puts: dict[str, str]
@@ -27,7 +27,7 @@
     lines: tuple[str, ...]
 
     def is_empty(self) -> bool:
-        """Tell whether nothing would change."""
+        """Return whether nothing would change."""
         return not self.puts and not self.removals
 
 
@@ -39,23 +39,23 @@
     prune: bool,
 ) -> Difference:
     """
-    Compare the files of one owner with those in force.
+    Compare the files of one owner with the active configuration.
 
     Parameters
     ----------
     files : list of SourceFile
-        Files of the folder.
+        Files in the folder.
     snapshot : Snapshot
-        What is in force.
+        Active configuration.
     owner : str
         Only files of this owner are compared.
     prune : bool
-        Whether the owner's files missing in the folder are to be removed.
+        Whether to remove the owner's active files that the folder lacks.
 
     Returns
     -------
     Difference
-        What an apply would do.
+        Changes that an apply would make.
     """
     hashes = snapshot.manifest.get_hashes()
     changed = [
@@ -69,7 +69,7 @@
     for source in changed:
         before_hash = hashes.get(source.name, '')
         before = snapshot.files_by_sha256.get(before_hash, '')
-        lines.extend(_render(source.name, before, source.text))
+        lines.extend(_render_diff(source.name, before, source.text))
     removals = _get_removals(files, snapshot, owner) if prune else ()
     lines.extend(f'--- {name} is removed' for name in removals)
     return Difference(puts=puts, removals=removals, lines=tuple(lines))
@@ -93,7 +93,7 @@
     return parsed.map(lambda part: part.owner).unwrap_or('')
 
 
-def _render(name: str, before: str, after: str) -> list[str]:
+def _render_diff(name: str, before: str, after: str) -> list[str]:
     return list(
         difflib.unified_diff(
             before.splitlines(),
--- a/packages/ragworthollow-ctl/src/ragworthollow_ctl/gateway_client.py
+++ b/packages/ragworthollow-ctl/src/ragworthollow_ctl/gateway_client.py
@@ -1,4 +1,4 @@
-"""Call the metrics address of a gateway."""
+"""Client of the operator endpoints at a gateway's metrics address."""
 
 import sys
 
@@ -6,48 +6,48 @@
 import msgspec
 
 _TIMEOUT_S = 5
-_FAILURE = 1
-_FAILURES = (aiohttp.ClientError, TimeoutError, msgspec.DecodeError)
+_FAILURE_EXIT_CODE = 1
+_REQUEST_ERRORS = (aiohttp.ClientError, TimeoutError, msgspec.DecodeError)
 
 
-async def ask_gateway(
+async def query_gateway(
     address: str,
     path: str,
-    answer_type: type,
+    response_type: type,
     message: object = None,
 ):
     """
-    Ask a gateway; a message is posted.
+    Send a request to a gateway: POST with a message, otherwise GET.
 
     Parameters
     ----------
     address : str
         Metrics address of the gateway, `IP:PORT`.
     path : str
-        What is asked for.
-    answer_type : type
-        Of the answer.
+        Path of the endpoint.
+    response_type : type
+        Type to decode the response body as.
     message : object
-        What is sent; None to read only.
+        Message to post; None sends a GET request.
 
     Returns
     -------
     object
-        The answer.  Exits with a message when there is none.
+        Decoded response.  Exits with a message if the request fails.
     """
     url = f'http://{address}{path}'
     body = None if message is None else msgspec.json.encode(message)
     timeout = aiohttp.ClientTimeout(total=_TIMEOUT_S)
     try:
         async with aiohttp.ClientSession(timeout=timeout) as session:
-            found = await _exchange(session, url, body)
-        return msgspec.json.decode(found, type=answer_type)
-    except _FAILURES as error:
+            response_body = await _send_request(session, url, body)
+        return msgspec.json.decode(response_body, type=response_type)
+    except _REQUEST_ERRORS as error:
         sys.stderr.write(f'{url}: {error!r}\n')
-        sys.exit(_FAILURE)
+        sys.exit(_FAILURE_EXIT_CODE)
 
 
-async def _exchange(
+async def _send_request(
     session: aiohttp.ClientSession,
     url: str,
     body: bytes | None,
--- a/packages/ragworthollow-ctl/src/ragworthollow_ctl/losses/__init__.py
+++ b/packages/ragworthollow-ctl/src/ragworthollow_ctl/losses/__init__.py
@@ -1,4 +1,4 @@
-"""Tell from logs which requests were not served, and why."""
+"""Analyse logs for requests that were not served, and why."""
 
 from ragworthollow_ctl.losses.loss_account import LossAccount
 from ragworthollow_ctl.losses.rendering import render_account
--- a/packages/ragworthollow-ctl/src/ragworthollow_ctl/losses/log_line.py
+++ b/packages/ragworthollow-ctl/src/ragworthollow_ctl/losses/log_line.py
@@ -1,4 +1,4 @@
-"""Define the log lines from which losses are told."""
+"""Decode the log lines that losses are computed from."""
 
 import msgspec
 
@@ -7,28 +7,30 @@
 
 class LogLine(Message):
     """
-    Hold the fields of a log line that losses are told from.
+    Hold the fields of a log line that the loss report uses.
 
     Attributes
     ----------
     event : str
-        What happened.
+        Name of the event.
     time_ms : float
-        Wall-clock time of the line.
+        Wall-clock time of the line, in milliseconds since the epoch.
     step, peer, reason, detail : str or None
-        Where and why a request ended; None where it was served.
+        Where and why a request failed; None if it was served.
     request_id, route, pool : str
-        Which request; empty for lines about calls for pieces.
+        Request that the line is about.  `request_id` and `route` are empty for
+        calls for pieces.
     status : int
-        What its caller got.
+        HTTP status that the caller received.
     late_ms : float
-        How much later than its objective an answer began; negative in time.
+        Start of the response relative to its latency objective, in
+        milliseconds; negative if it was in time.
     pieces : int or list of int
-        Pieces of a call, or of each stage of a request.
+        Number of pieces of a call, or of each stage of a request.
     limit : str
-        What kept a call from carrying more pieces.
+        Limit that kept a call from carrying more pieces.
     queued : int
-        Pieces that waited when the call ended.
+        Pieces that were queued when the call ended.
     """
 
     event: str = ''
@@ -49,25 +51,25 @@
 
 def decode_line(text: str) -> LogLine | None:
     """
-    Decode one line of output.
+    Decode one line of collected output.
 
-    Collectors put a time or a name before the line of the process, and other
-    programs write beside it.
+    Log collectors prefix the lines of a process with a time or a name, and
+    other programs write to the same output.
 
     Parameters
     ----------
     text : str
-        The line, with whatever stands before its JSON object.
+        Line, including any prefix before its JSON object.
 
     Returns
     -------
     LogLine or None
-        None for a line that is not one of ours.
+        None if the line holds no JSON object of this format.
     """
-    begin = text.find('{')
-    if begin < 0:
+    start = text.find('{')
+    if start < 0:
         return None
     try:
-        return msgspec.json.decode(text[begin:].encode(), type=LogLine)
+        return msgspec.json.decode(text[start:].encode(), type=LogLine)
     except msgspec.DecodeError:
         return None
--- a/packages/ragworthollow-ctl/src/ragworthollow_ctl/losses/loss_account.py
+++ b/packages/ragworthollow-ctl/src/ragworthollow_ctl/losses/loss_account.py
@@ -1,4 +1,4 @@
-"""Account for requests by what became of them."""
+"""Count requests by outcome."""
 
 from collections import Counter
 from dataclasses import dataclass, field
@@ -7,32 +7,33 @@
 from ragworthollow_ctl.losses.loss_cause import LossCause, find_cause, is_owed
 from ragworthollow_ctl.losses.pool_calls import PoolCalls
 
-_ENDS = ('request_ended', 'request_abandoned', 'stream_broken')
-_MILLISECONDS = 1000
+_END_EVENTS = ('request_ended', 'request_abandoned', 'stream_broken')
+_MS_PER_SECOND = 1000
 
 
 @dataclass(kw_only=True, slots=True)
 class LossAccount:
     """
-    Give each request that was not served one cause.
+    Count requests and assign one cause to each that was not served.
 
-    A caller that comes back is another request here: its return has another
-    identifier.
+    A retry by the caller counts as a separate request, since it has another
+    request identifier.
 
     Attributes
     ----------
     owed : Counter of int
-        Requests that had to be served, by second of their end.
+        Requests that should have been served, by the second in which they
+        ended.
     lost : Counter of int
-        Those that were not, by second.
+        Requests that were not served, by second.
     causes : Counter of tuple of LossCause and str
-        Those that were not, by cause and peer.
+        Requests that were not served, by cause and peer (or pool).
     routes : Counter of tuple of str and LossCause
-        The same by route and cause.
+        Requests that were not served, by route and cause.
     late : Counter of str
-        Those that were served after their objective, by route.
+        Requests served after their latency objective, by route.
     calls_by_pool : dict of str to PoolCalls
-        Calls for pieces.
+        Statistics on the calls for pieces of each pool.
     """
 
     owed: Counter[int] = field(default_factory=Counter)
@@ -41,28 +42,28 @@
     routes: Counter[tuple[str, LossCause]] = field(default_factory=Counter)
     late: Counter[str] = field(default_factory=Counter)
     calls_by_pool: dict[str, PoolCalls] = field(default_factory=dict)
-    _ended: set[str] = field(default_factory=set)
-    _answered_late: set[str] = field(default_factory=set)
+    _ended_requests: set[str] = field(default_factory=set)
+    _late_requests: set[str] = field(default_factory=set)
 
-    def take(self, line: LogLine) -> None:
-        """Take one log line; lines about other things change nothing."""
+    def add(self, line: LogLine) -> None:
+        """Add one log line; lines of other events are ignored."""
         if line.event == 'pieces_done':
-            self.calls_by_pool.setdefault(line.pool, PoolCalls()).note(line)
+            self.calls_by_pool.setdefault(line.pool, PoolCalls()).add(line)
         elif line.event == 'answered' and line.late_ms > 0:
-            self._answered_late.add(line.request_id)
-        elif line.event in _ENDS and is_owed(line):
-            self._take_end(line)
+            self._late_requests.add(line.request_id)
+        elif line.event in _END_EVENTS and is_owed(line):
+            self._add_end(line)
 
-    def _take_end(self, line: LogLine) -> None:
-        # A stream that broke ends with a second line, as if it were whole.
-        if line.request_id in self._ended:
+    def _add_end(self, line: LogLine) -> None:
+        # An aborted stream logs a second end line, as if it were complete.
+        if line.request_id in self._ended_requests:
             return
-        self._ended.add(line.request_id)
-        second = int(line.time_ms // _MILLISECONDS)
+        self._ended_requests.add(line.request_id)
+        second = int(line.time_ms // _MS_PER_SECOND)
         self.owed[second] += 1
         cause = find_cause(line)
         if cause is None:
-            self.late[line.route] += line.request_id in self._answered_late
+            self.late[line.route] += line.request_id in self._late_requests
             return
         self.lost[second] += 1
         self.causes[cause, line.peer or line.pool] += 1
--- a/packages/ragworthollow-ctl/src/ragworthollow_ctl/losses/loss_cause.py
+++ b/packages/ragworthollow-ctl/src/ragworthollow_ctl/losses/loss_cause.py
@@ -1,4 +1,4 @@
-"""Name why a request was not served."""
+"""Determine why a request was not served."""
 
 import enum
 from http import HTTPStatus
@@ -9,34 +9,40 @@
 
 class LossCause(enum.StrEnum):
     """
-    Give each request that was not served one cause.
+    Enumerate the causes for which requests are not served.
 
     Attributes
     ----------
     refused_at_door
-        It could not be in time when it came, nor later.
+        On arrival, the request could be served neither within its latency
+        objective nor later.
     refused_in_stages
-        It was let in, and a pool of its way could not do its pieces in time.
+        It was admitted, but a pool of one of its stages could not finish its
+        pieces in time.
     pieces_failed
-        Pieces of a stage failed or lost their inputs.
+        Pieces of a stage failed, or their inputs were lost.
     process_unready
-        The gateway was starting, stopping or knew no instance.
+        The gateway was starting, shutting down or knew no instance.
     domain_drained
         Every instance of a pool was in a failure domain that was drained.
     warming_up
-        Every instance of a pool was warming up and had got what it bears.
+        Every instance of a pool was warming up and had received as many
+        requests as it can handle meanwhile.
     rate_limited
-        Every instance of a pool had got what it has said it takes.
+        Every instance of a pool had reached the request rate that it
+        advertises.
     upstream_error
-        The upstream answered with an error, or refused.
+        The upstream responded with an error or a refusal.
     upstream_silent
-        No answer came within the time limit.
+        The upstream did not respond within the time limit.
     connection_broken
-        The upstream, or the connection to it, broke off.
+        The connection to the upstream failed or was lost, or its response was
+        incomplete or mismatched.
     caller_left
-        The caller left, or the process ended, before the answer.
+        The caller disconnected, or the process terminated, before the response
+        was complete.
     other
-        Anything else.
+        Any other cause.
     """
 
     refused_at_door = 'refused at the door'
@@ -53,8 +59,8 @@
     other = 'other'
 
 
-_DOOR_STEP = 'front'
-_CAUSES = {
+_FRONT_STEP = 'front'
+_CAUSES_BY_REASON = {
     Reason.stage_late: LossCause.refused_in_stages,
     Reason.stage_failed: LossCause.pieces_failed,
     Reason.inputs_gone: LossCause.pieces_failed,
@@ -74,7 +80,7 @@
     Reason.truncated: LossCause.connection_broken,
     Reason.mismatched_answer: LossCause.connection_broken,
 }
-_OWN_REFUSALS = (
+_CALLER_ERRORS = (
     Reason.unauthorized,
     Reason.unknown_route,
     Reason.body_too_large,
@@ -83,23 +89,23 @@
 
 
 def is_owed(line: LogLine) -> bool:
-    """Tell whether a request that ended was one that had to be served."""
-    return line.reason not in _OWN_REFUSALS
+    """Return whether the request should have been served."""
+    return line.reason not in _CALLER_ERRORS
 
 
 def find_cause(line: LogLine) -> LossCause | None:
     """
-    Tell why a request was not served.
+    Return why a request was not served.
 
     Parameters
     ----------
     line : LogLine
-        Its end.
+        Log line of the end of the request.
 
     Returns
     -------
     LossCause or None
-        None for one that was served.
+        None if the request was served.
     """
     if line.event == 'request_abandoned':
         return LossCause.caller_left
@@ -109,10 +115,10 @@
         is_error = line.status >= HTTPStatus.INTERNAL_SERVER_ERROR
         return LossCause.upstream_error if is_error else None
     if line.reason == Reason.overloaded:
-        at_door = line.step == _DOOR_STEP
+        is_at_front = line.step == _FRONT_STEP
         return (
             LossCause.refused_at_door
-            if at_door
+            if is_at_front
             else LossCause.refused_in_stages
         )
-    return _CAUSES.get(line.reason, LossCause.other)
+    return _CAUSES_BY_REASON.get(line.reason, LossCause.other)
--- a/packages/ragworthollow-ctl/src/ragworthollow_ctl/losses/pool_calls.py
+++ b/packages/ragworthollow-ctl/src/ragworthollow_ctl/losses/pool_calls.py
@@ -1,4 +1,4 @@
-"""Sum up the calls for pieces of one pool."""
+"""Aggregate the calls for pieces of one pool."""
 
 from collections import Counter
 from dataclasses import dataclass, field
@@ -9,18 +9,18 @@
 @dataclass(kw_only=True, slots=True)
 class PoolCalls:
     """
-    Count calls, their pieces, and what kept them from carrying more.
+    Count calls, their pieces, and the limits on the size of calls.
 
     Attributes
     ----------
     calls, pieces : int
-        Calls that ended with results, and their pieces.
+        Number of calls that ended with results, and of their pieces.
     largest : int
-        Most pieces of one call.
+        Maximum number of pieces in one call.
     queued : int
-        Pieces that waited, summed over the ends of calls.
+        Sum over all calls of the pieces queued when the call ended.
     limits : Counter of str
-        Calls by what limited them.
+        Number of calls by the limit that kept them from carrying more pieces.
     """
 
     calls: int = 0
@@ -29,8 +29,8 @@
     queued: int = 0
     limits: Counter[str] = field(default_factory=Counter)
 
-    def note(self, line: LogLine) -> None:
-        """Take the end of one call."""
+    def add(self, line: LogLine) -> None:
+        """Add the log line of the end of a call."""
         if not isinstance(line.pieces, int):
             return
         self.calls += 1
--- a/packages/ragworthollow-ctl/src/ragworthollow_ctl/losses/rendering.py
+++ b/packages/ragworthollow-ctl/src/ragworthollow_ctl/losses/rendering.py
@@ -1,4 +1,4 @@
-"""Show an account of losses as text."""
+"""Render a loss account as text."""
 
 from collections import Counter
 from collections.abc import Iterator
@@ -6,8 +6,9 @@
 from ragworthollow_ctl.losses.loss_account import LossAccount
 from ragworthollow_ctl.losses.pool_calls import PoolCalls
 
-# Peers and routes below this rank are summed up in the counts of their cause.
-_ROWS = 20
+# Peers and routes beyond this rank get no row of their own; the totals in the
+# first line include them.
+_MAX_ROWS = 20
 _BAR_WIDTH = 40
 _PERCENT = 100
 _LATE = 'late'
@@ -15,19 +16,19 @@
 
 def render_account(account: LossAccount) -> Iterator[str]:
     """
-    Render the tables and the picture of the day, line by line.
+    Render the summary, the tables and the bar chart, line by line.
 
     Parameters
     ----------
     account : LossAccount
-        What the lines told.
+        Counts of the requests found in the logs.
     """
     owed = account.owed.total()
     lost = account.lost.total()
     late = account.late.total()
     yield (
-        f'{owed} requests, {lost} not served ({_share(lost, owed)}),'
-        f' {late} late ({_share(late, owed)})'
+        f'{owed} requests, {lost} not served ({_render_share(lost, owed)}),'
+        f' {late} late ({_render_share(late, owed)})'
     )
     if lost:
         yield ''
@@ -44,15 +45,15 @@
 
 def _render_causes(account: LossAccount, lost: int) -> Iterator[str]:
     yield f'{"not served":24}{"peer":24}{"requests":>9}{"share":>8}'
-    for (cause, peer), count in account.causes.most_common(_ROWS):
-        yield f'{cause:24}{peer:24}{count:9}{_share(count, lost):>8}'
+    for (cause, peer), count in account.causes.most_common(_MAX_ROWS):
+        yield f'{cause:24}{peer:24}{count:9}{_render_share(count, lost):>8}'
 
 
 def _render_routes(account: LossAccount) -> Iterator[str]:
     rows = Counter(account.routes)
     rows.update({(route, _LATE): late for route, late in account.late.items()})
     yield f'{"route":24}{"not served, or late":24}{"requests":>9}'
-    for (route, cause), count in rows.most_common(_ROWS):
+    for (route, cause), count in rows.most_common(_MAX_ROWS):
         if count:
             yield f'{route or "-":24}{cause:24}{count:9}'
 
@@ -72,13 +73,13 @@
 
 def _render_limits(calls: PoolCalls) -> str:
     return ', '.join(
-        f'{limit} {_share(count, calls.calls)}'
+        f'{limit} {_render_share(count, calls.calls)}'
         for limit, count in calls.limits.most_common()
     )
 
 
 def _render_seconds(account: LossAccount) -> Iterator[str]:
-    """Draw one bar a second: served as `=`, not served as `x`."""
+    """Draw one bar per second: `=` for served, `x` for not served."""
     if not account.owed:
         return
     first = min(account.owed)
@@ -96,10 +97,10 @@
     scale: float,
 ) -> str:
     served = round((owed[second] - lost[second]) * scale)
-    drawn = '=' * served + 'x' * round(lost[second] * scale)
-    row = f'{second - first:6}{owed[second]:9}{lost[second]:6}  {drawn}'
+    bar = '=' * served + 'x' * round(lost[second] * scale)
+    row = f'{second - first:6}{owed[second]:9}{lost[second]:6}  {bar}'
     return row.rstrip()
 
 
-def _share(count: int, of_all: int) -> str:
-    return f'{count * _PERCENT / of_all:.1f}%' if of_all else '-'
+def _render_share(count: int, total: int) -> str:
+    return f'{count * _PERCENT / total:.1f}%' if total else '-'
--- a/packages/ragworthollow-ctl/src/ragworthollow_ctl/main.py
+++ b/packages/ragworthollow-ctl/src/ragworthollow_ctl/main.py
@@ -1,4 +1,4 @@
-"""Run `ragworthctl`."""
+"""Command line of `ragworthctl`."""
 
 from cyclopts import App
 
@@ -38,5 +38,5 @@
 
 
 def main() -> None:
-    """Run the command line."""
+    """Run the command-line application."""
     app()
--- a/packages/ragworthollow-ctl/src/ragworthollow_ctl/service_client.py
+++ b/packages/ragworthollow-ctl/src/ragworthollow_ctl/service_client.py
@@ -1,4 +1,4 @@
-"""Call the operators' interface of the entries."""
+"""Client of the operator API that the entries serve."""
 
 import asyncio
 import os
@@ -12,20 +12,21 @@
 KEY_VARIABLE = 'RAGWORTHOLLOW_OPERATOR_KEY'
 ENTRIES_VARIABLE = 'RAGWORTHOLLOW_ENTRIES'
 
-_HEADER = 'X-Ragworthollow-Operator-Key'
+_KEY_HEADER = 'X-Ragworthollow-Operator-Key'
 _TIMEOUT_S = 20
-_ROUNDS = 3
-_PAUSE_S = 0.5
+_ATTEMPTS_PER_ENTRY = 3
+_RETRY_DELAY_S = 0.5
 _UNAUTHORIZED = 401
-_FAILURE = 1
-_FAILURES = (aiohttp.ClientError, TimeoutError, msgspec.DecodeError)
+_FAILURE_EXIT_CODE = 1
+_REQUEST_ERRORS = (aiohttp.ClientError, TimeoutError, msgspec.DecodeError)
 
 
 class ServiceClient:
     """
-    Ask one entry after the other until one answers.
+    Send each request to one entry after the other until one responds.
 
-    Asking again is safe: reads change nothing, and a change carries its id.
+    Retries are safe: reads have no side effects, and every change carries a
+    change id.
 
     Parameters
     ----------
@@ -39,76 +40,79 @@
         self._entries = entries
         self._key = key
 
-    async def get(self, path: str, answer_type: type):
-        """Read from the service."""
-        return await self._ask('GET', path, None, answer_type)
+    async def get(self, path: str, response_type: type):
+        """Send a GET request and return the decoded response."""
+        return await self._request('GET', path, None, response_type)
 
-    async def post(self, path: str, message: object, answer_type: type):
-        """Send a message to the service."""
+    async def post(self, path: str, message: object, response_type: type):
+        """Post a message and return the decoded response."""
         body = msgspec.json.encode(message)
-        return await self._ask('POST', path, body, answer_type)
+        return await self._request('POST', path, body, response_type)
 
-    async def _ask(
+    async def _request(
         self,
         method: str,
         path: str,
         body: bytes | None,
-        answer_type: type,
+        response_type: type,
     ):
         failures: list[str] = []
         async with aiohttp.ClientSession(
-            headers={_HEADER: self._key},
+            headers={_KEY_HEADER: self._key},
             timeout=aiohttp.ClientTimeout(total=_TIMEOUT_S),
         ) as session:
-            for entry in list(self._entries) * _ROUNDS:
+            for entry in list(self._entries) * _ATTEMPTS_PER_ENTRY:
                 url = f'{entry.rstrip("/")}/v1/operator/{path}'
-                call = session.request(method, url, data=body)
+                request = session.request(method, url, data=body)
                 try:
-                    return await _exchange(call, answer_type)
-                except _FAILURES as error:
+                    return await _send_request(request, response_type)
+                except _REQUEST_ERRORS as error:
                     failures.append(f'{url}: {type(error).__name__}\n')
-                await asyncio.sleep(_PAUSE_S)
+                await asyncio.sleep(_RETRY_DELAY_S)
         sys.stderr.write('no entry answered:\n')
         sys.stderr.writelines(failures)
-        sys.exit(_FAILURE)
+        sys.exit(_FAILURE_EXIT_CODE)
 
 
-async def _exchange(
-    call: AbstractAsyncContextManager[aiohttp.ClientResponse],
-    answer_type: type,
+async def _send_request(
+    request: AbstractAsyncContextManager[aiohttp.ClientResponse],
+    response_type: type,
 ):
-    async with call as response:
-        return await _decode(response, answer_type)
+    async with request as response:
+        return await _decode_response(response, response_type)
 
 
-async def _decode(response: aiohttp.ClientResponse, answer_type: type):
+async def _decode_response(
+    response: aiohttp.ClientResponse, response_type: type
+):
     body = await response.read()
     if response.status == _UNAUTHORIZED:
         sys.stderr.write('the service does not know this operator key\n')
-        sys.exit(_FAILURE)
-    return msgspec.json.decode(body, type=answer_type)
+        sys.exit(_FAILURE_EXIT_CODE)
+    return msgspec.json.decode(body, type=response_type)
 
 
 def make_client(entries: Sequence[str]) -> ServiceClient:
     """
-    Make a client out of arguments and the environment.
+    Make a client from the arguments or, failing those, the environment.
 
     Parameters
     ----------
     entries : sequence of str
-        From the command line; empty to take the environment's.
+        Addresses from the command line; if empty, those of the environment.
 
     Returns
     -------
     ServiceClient
-        Exits with a message when an address or the key is missing.
+        Client with at least one entry.  Exits with a message if no address or
+        no key is given.
     """
-    known = list(entries) or os.environ.get(ENTRIES_VARIABLE, '').split()
+    addresses = list(entries) or os.environ.get(ENTRIES_VARIABLE, '').split()
     key = os.environ.get(KEY_VARIABLE, '')
-    if not known:
+    if not addresses:
         sys.stderr.write(f'name an entry with --entry or {ENTRIES_VARIABLE}\n')
         sys.exit(2)
     if not key:
         sys.stderr.write(f'put the operator key into {KEY_VARIABLE}\n')
         sys.exit(2)
-    return ServiceClient(entries=known, key=key)
+    return ServiceClient(entries=addresses, key=key)
--- a/packages/ragworthollow-daemon/src/ragworthollow_daemon/__init__.py
+++ b/packages/ragworthollow-daemon/src/ragworthollow_daemon/__init__.py
@@ -1,1 +1,1 @@
-"""Run one process of the system: an entry or a sidecar."""
+"""Run one process of the system: an entry, a sidecar or a gateway."""
--- a/packages/ragworthollow-daemon/src/ragworthollow_daemon/daemon_service.py
+++ b/packages/ragworthollow-daemon/src/ragworthollow_daemon/daemon_service.py
@@ -1,4 +1,4 @@
-"""Run a role as a service with a graceful shutdown."""
+"""Run a role as a service that shuts down gracefully."""
 
 import asyncio
 import os
@@ -14,33 +14,34 @@
 from ragworthollow_daemon.sidecar.role import SidecarRole
 from ragworthollow_daemon.web import make_application, run_site
 
-_CUT_EXIT_CODE = 1
+_ABORTED_EXIT_CODE = 1
 
 
 class DaemonService(Service):
     """
-    Start a role, serve, and stop without cutting a request.
+    Start a role, serve requests, and shut down without aborting any.
 
     Parameters
     ----------
     settings : DaemonSettings
-        Checked settings.
+        Validated settings.
     """
 
     settings: DaemonSettings
 
     async def start(self) -> None:
-        """Learn what is needed, then listen."""
-        self._stopping = asyncio.Event()
+        """Bind the listener, load the shared state, then start the role."""
+        self._shutdown_requested = asyncio.Event()
         self._context = ProcessContext(settings=self.settings)
         self._role = _make_role(self._context)
         application = make_application(self._context)
         self._role.add_to(application)
         loop = asyncio.get_running_loop()
-        for number in (signal.SIGTERM, signal.SIGINT):
-            loop.add_signal_handler(number, self._take_signal)
-        # Binding the port first makes sure that no earlier process of this
-        # instance is left: ownership of keys relies on it.
+        for signal_number in (signal.SIGTERM, signal.SIGINT):
+            loop.add_signal_handler(signal_number, self._handle_signal)
+        # Bind the port before joining the fleet: binding fails while an earlier
+        # process of this instance is still running. Key ownership relies on
+        # there being no such process.
         self._runner = await run_site(application, self.settings.listen)
         await self._context.start()
         await self._role.start()
@@ -53,13 +54,13 @@
         )
 
     async def stop(self, exception: Exception | None = None) -> None:
-        """Close the listener and the sessions."""
+        """Close the listener, the background tasks and the sessions."""
         await self._runner.cleanup()
         await self._context.close()
 
     async def serve(self) -> None:
-        """Serve until a signal asks for a stop and the stop is complete."""
-        await self._stopping.wait()
+        """Serve until a signal requests shutdown and it has completed."""
+        await self._shutdown_requested.wait()
         started_ms = get_monotonic_ms()
         await self._role.stop(self.settings.drain_limit_ms)
         drain = self._context.drain
@@ -72,7 +73,7 @@
             elapsed_ms=round(get_monotonic_ms() - started_ms),
         )
 
-    def _take_signal(self) -> None:
+    def _handle_signal(self) -> None:
         if self._context.drain.is_draining:
             log_error(
                 'stopped_at_once',
@@ -80,7 +81,7 @@
                 peer=self.settings.instance,
                 cut=self._context.drain.in_flight,
             )
-            os._exit(_CUT_EXIT_CODE)
+            os._exit(_ABORTED_EXIT_CODE)
         self._context.drain.is_draining = True
         log_event(
             'draining',
@@ -88,7 +89,7 @@
             peer=self.settings.instance,
             in_flight=self._context.drain.in_flight,
         )
-        self._stopping.set()
+        self._shutdown_requested.set()
 
 
 def _make_role(context: ProcessContext) -> EntryRole | SidecarRole:
--- a/packages/ragworthollow-daemon/src/ragworthollow_daemon/drain.py
+++ b/packages/ragworthollow-daemon/src/ragworthollow_daemon/drain.py
@@ -1,4 +1,4 @@
-"""Track a graceful shutdown."""
+"""Track the requests in flight during a graceful shutdown."""
 
 import asyncio
 from collections.abc import Iterator
@@ -7,52 +7,53 @@
 from ragworthollow.conf import global_settings
 from ragworthollow.utils import get_boottime_ms, get_monotonic_ms
 
-_MILLISECONDS = 1000
+_MS_PER_SECOND = 1000
 
 
 class DrainState:
-    """Know whether the process stops and what it still serves."""
+    """Hold whether the process is draining and its requests in flight."""
 
     def __init__(self) -> None:
         self.is_draining = False
         self.in_flight = 0
-        self._last_seen_ms = float('-inf')
+        self._last_activity_ms = float('-inf')
 
     @contextmanager
     def serving(self) -> Iterator[None]:
-        """Count one piece of work while it is served."""
+        """Count a request as in flight while the context is active."""
         self.in_flight += 1
-        self._last_seen_ms = get_monotonic_ms()
+        self._last_activity_ms = get_monotonic_ms()
         try:
             yield
         finally:
             self.in_flight -= 1
-            self._last_seen_ms = get_monotonic_ms()
+            self._last_activity_ms = get_monotonic_ms()
 
-    def is_quiet(self) -> bool:
-        """Tell whether nothing is served and nothing came of late."""
-        silence_ms = get_monotonic_ms() - self._last_seen_ms
-        is_silent = silence_ms >= global_settings.DRAIN_QUIET_MS
-        return not self.in_flight and is_silent
+    def is_idle(self) -> bool:
+        """Return whether nothing is in flight and nothing arrived recently."""
+        inactive_ms = get_monotonic_ms() - self._last_activity_ms
+        is_inactive = inactive_ms >= global_settings.DRAIN_QUIET_MS
+        return not self.in_flight and is_inactive
 
     async def wait_quiet(self, limit_ms: float) -> bool:
         """
-        Wait until the process is quiet.
+        Wait until the process is idle.
 
         Parameters
         ----------
         limit_ms : float
-            Longest wait.
+            Maximum wait in milliseconds.
 
         Returns
         -------
         bool
-            False when work is still being served at the limit.
+            False if the limit passed before the process was idle.
         """
-        # A process that is suspended meanwhile has no more time than before.
+        # Uses CLOCK_BOOTTIME, which includes time in suspend: a process that is
+        # suspended while it waits gets no additional time.
         end_ms = get_boottime_ms() + limit_ms
-        while not self.is_quiet():
+        while not self.is_idle():
             if get_boottime_ms() >= end_ms:
                 return False
-            await asyncio.sleep(global_settings.STOP_STEP_MS / _MILLISECONDS)
+            await asyncio.sleep(global_settings.STOP_STEP_MS / _MS_PER_SECOND)
         return True
--- a/packages/ragworthollow-daemon/src/ragworthollow_daemon/main.py
+++ b/packages/ragworthollow-daemon/src/ragworthollow_daemon/main.py
@@ -1,4 +1,4 @@
-"""Run `ragworthd`."""
+"""Command line of `ragworthd`."""
 
 import sys
 from pathlib import Path
@@ -36,9 +36,10 @@
     ] = False,
 ) -> None:
     """
-    Run until TERM, which stops gracefully; a second TERM stops at once.
+    Run until SIGTERM, which shuts down gracefully; a second one exits at once.
 
-    Exit codes: 0 stopped, 1 cut by a second signal, 2 bad settings.
+    Exit codes: 0 shut down gracefully, 1 aborted by a second signal,
+    2 invalid settings.
     """
     loaded = load_settings(settings)
     if isinstance(loaded, Err):
@@ -55,5 +56,5 @@
 
 
 def main() -> None:
-    """Run the command line."""
+    """Run the command-line application."""
     app()
--- a/packages/ragworthollow-daemon/src/ragworthollow_daemon/process_context.py
+++ b/packages/ragworthollow-daemon/src/ragworthollow_daemon/process_context.py
@@ -1,4 +1,4 @@
-"""Hold what both roles of a daemon need."""
+"""Shared resources of the entry and sidecar roles."""
 
 import asyncio
 import random
@@ -19,14 +19,14 @@
 
 class ProcessContext:
     """
-    Own the sessions, the metrics and the followed state of one process.
+    Own the sessions, metrics and replicated state of one process.
 
-    To be made inside the running loop.
+    Must be created inside the running event loop.
 
     Parameters
     ----------
     settings : DaemonSettings
-        Checked settings.
+        Validated settings.
     """
 
     def __init__(self, *, settings: DaemonSettings) -> None:
@@ -53,7 +53,7 @@
         self.poller = InstancePoller(
             session=self.plain_session,
             url=settings.platform.instances_url,
-            on_change=self._take_instances,
+            on_change=self._set_instances,
         )
         self.follower = Follower(
             key_value=self.key_value,
@@ -65,32 +65,32 @@
         self._tasks: list[asyncio.Task[None]] = []
 
     async def start(self) -> None:
-        """Learn the instances and the configuration, then follow both."""
+        """Load the instances and the configuration, then poll both."""
         await self.poller.poll()
         await self.follower.start()
         self.spawn(self.poller.run())
         self.spawn(self.follower.run())
 
     def spawn(self, coroutine) -> None:
-        """Run a loop of this process until it closes."""
+        """Run a background task until the process closes."""
         task = asyncio.ensure_future(coroutine)
-        task.add_done_callback(_report_end)
+        task.add_done_callback(_log_task_failure)
         self._tasks.append(task)
 
     async def close(self) -> None:
-        """End the loops and the sessions."""
+        """Cancel the background tasks and close the sessions."""
         for task in self._tasks:
             task.cancel()
         await asyncio.gather(*self._tasks, return_exceptions=True)
         await self.session.close()
         await self.plain_session.close()
 
-    def _take_instances(self, listed: InstanceList) -> None:
-        self.peers.listed = listed
+    def _set_instances(self, instances: InstanceList) -> None:
+        self.peers.listed = instances
 
 
-def _report_end(task: asyncio.Task[None]) -> None:
-    """Say that a loop has ended with an error, which is always a defect."""
+def _log_task_failure(task: asyncio.Task[None]) -> None:
+    """Log a background task that raised, which is always a defect."""
     if task.cancelled():
         return
     error = task.exception()
@@ -100,16 +100,16 @@
 
 def get_timeout(total_ms: float) -> aiohttp.ClientTimeout:
     """
-    Make a timeout for a whole exchange.
+    Make a timeout for a request and its complete response.
 
     Parameters
     ----------
     total_ms : float
-        Milliseconds from the first byte to the last.
+        Total time from the first byte to the last, in milliseconds.
 
     Returns
     -------
     ClientTimeout
-        In the library's own unit, seconds.
+        Converted to seconds, the unit of aiohttp.
     """
     return aiohttp.ClientTimeout(total=total_ms / 1000)
--- a/packages/ragworthollow-daemon/src/ragworthollow_daemon/run_service.py
+++ b/packages/ragworthollow-daemon/src/ragworthollow_daemon/run_service.py
@@ -1,4 +1,4 @@
-"""Run one service on the loop of this process."""
+"""Run a service on the event loop of this process."""
 
 import gc
 
@@ -10,14 +10,15 @@
 
 def run_service(service: Service) -> None:
     """
-    Run a service until its `serve` returns.
+    Run a service until its `serve` coroutine returns.
 
     Parameters
     ----------
     service : Service
-        With a coroutine `serve` that ends when a signal asked for it.
+        Its `serve` coroutine returns after a signal has requested shutdown.
     """
-    # Most objects live for one request and die by reference count.
+    # Most objects live for one request and are freed by reference counting,
+    # so the cyclic garbage collector can run rarely.
     gc.set_threshold(global_settings.COLLECTION_THRESHOLD)
     with entrypoint(
         service,
