--- a/deploy/run_daemon.py
+++ b/deploy/run_daemon.py
@@ -22,8 +22,8 @@
 
 def main() -> None:
     """Run the gateway with the settings file that the platform provides."""
-    for variable in _CERTIFICATE_VARIABLES:
-        os.environ[variable] = os.devnull
+    for variable_name in _CERTIFICATE_VARIABLES:
+        os.environ[variable_name] = os.devnull
     sys.path.insert(0, str(_BUILT))
     # Imports create no garbage, so collections during them are wasted.
     gc.disable()
--- a/packages/ragworthollow-ctl/src/ragworthollow_ctl/commands/instances.py
+++ b/packages/ragworthollow-ctl/src/ragworthollow_ctl/commands/instances.py
@@ -53,7 +53,8 @@
 
 def _render_limited(instance: LimitedInstance) -> str:
     return (
-        f'{instance.instance}  {instance.pool}  takes {instance.requests_per_s:g} a second'
+        f'{instance.instance}  {instance.pool}'
+        f'  takes {instance.requests_per_s:g} a second'
         f' as of {instance.named_age_ms / _MS_PER_SECOND:.1f} s ago'
         f'  {_render_sender(instance)}'
     )
--- a/packages/ragworthollow-ctl/src/ragworthollow_ctl/commands/losses.py
+++ b/packages/ragworthollow-ctl/src/ragworthollow_ctl/commands/losses.py
@@ -19,7 +19,7 @@
         line = decode_line(text)
         if line is not None:
             account.add(line)
-    if not account.owed and not account.calls_by_pool:
+    if not account.eligible and not account.calls_by_pool:
         sys.stderr.write('no line of a gateway on standard input\n')
         sys.exit(_NOTHING_FOUND)
     sys.stdout.writelines(f'{row}\n' for row in render_account(account))
--- a/packages/ragworthollow-ctl/src/ragworthollow_ctl/commands/pull.py
+++ b/packages/ragworthollow-ctl/src/ragworthollow_ctl/commands/pull.py
@@ -30,9 +30,9 @@
     client = make_client(entry or ())
     snapshot = asyncio.run(client.get('snapshot', Snapshot))
     folder.mkdir(parents=True, exist_ok=True)
-    for file in snapshot.manifest.files:
-        if file.owner == owner:
-            text = snapshot.files_by_sha256[file.sha256]
-            (folder / file.name).write_text(text, encoding='utf-8')
-            sys.stdout.write(f'{file.name}\n')
+    for active_file in snapshot.manifest.files:
+        if active_file.owner == owner:
+            text = snapshot.files_by_sha256[active_file.sha256]
+            (folder / active_file.name).write_text(text, encoding='utf-8')
+            sys.stdout.write(f'{active_file.name}\n')
     write_base(folder, snapshot.manifest.get_hashes())
--- a/packages/ragworthollow-ctl/src/ragworthollow_ctl/losses/loss_account.py
+++ b/packages/ragworthollow-ctl/src/ragworthollow_ctl/losses/loss_account.py
@@ -4,7 +4,11 @@
 from dataclasses import dataclass, field
 
 from ragworthollow_ctl.losses.log_line import LogLine
-from ragworthollow_ctl.losses.loss_cause import LossCause, find_cause, is_owed
+from ragworthollow_ctl.losses.loss_cause import (
+    LossCause,
+    find_cause,
+    is_eligible,
+)
 from ragworthollow_ctl.losses.pool_calls import PoolCalls
 
 _END_EVENTS = ('request_ended', 'request_abandoned', 'stream_broken')
@@ -21,7 +25,7 @@
 
     Attributes
     ----------
-    owed : Counter of int
+    eligible : Counter of int
         Requests that should have been served, by the second in which they
         ended.
     lost : Counter of int
@@ -36,7 +40,7 @@
         Statistics on the calls for pieces of each pool.
     """
 
-    owed: Counter[int] = field(default_factory=Counter)
+    eligible: Counter[int] = field(default_factory=Counter)
     lost: Counter[int] = field(default_factory=Counter)
     causes: Counter[tuple[LossCause, str]] = field(default_factory=Counter)
     routes: Counter[tuple[str, LossCause]] = field(default_factory=Counter)
@@ -51,7 +55,7 @@
             self.calls_by_pool.setdefault(line.pool, PoolCalls()).add(line)
         elif line.event == 'answered' and line.late_ms > 0:
             self._late_requests.add(line.request_id)
-        elif line.event in _END_EVENTS and is_owed(line):
+        elif line.event in _END_EVENTS and is_eligible(line):
             self._add_end(line)
 
     def _add_end(self, line: LogLine) -> None:
@@ -60,7 +64,7 @@
             return
         self._ended_requests.add(line.request_id)
         second = int(line.time_ms // _MS_PER_SECOND)
-        self.owed[second] += 1
+        self.eligible[second] += 1
         cause = find_cause(line)
         if cause is None:
             self.late[line.route] += line.request_id in self._late_requests
--- a/packages/ragworthollow-ctl/src/ragworthollow_ctl/losses/loss_cause.py
+++ b/packages/ragworthollow-ctl/src/ragworthollow_ctl/losses/loss_cause.py
@@ -88,7 +88,7 @@
 )
 
 
-def is_owed(line: LogLine) -> bool:
+def is_eligible(line: LogLine) -> bool:
     """Return whether the request should have been served."""
     return line.reason not in _CALLER_ERRORS
 
--- a/packages/ragworthollow-ctl/src/ragworthollow_ctl/losses/rendering.py
+++ b/packages/ragworthollow-ctl/src/ragworthollow_ctl/losses/rendering.py
@@ -23,12 +23,12 @@
     account : LossAccount
         Counts of the requests found in the logs.
     """
-    owed = account.owed.total()
+    eligible = account.eligible.total()
     lost = account.lost.total()
     late = account.late.total()
     yield (
-        f'{owed} requests, {lost} not served ({_render_share(lost, owed)}),'
-        f' {late} late ({_render_share(late, owed)})'
+        f'{eligible} requests, {lost} not served ({_render_share(lost, eligible)}),'
+        f' {late} late ({_render_share(late, eligible)})'
     )
     if lost:
         yield ''
@@ -80,25 +80,27 @@
 
 def _render_seconds(account: LossAccount) -> Iterator[str]:
     """Draw one bar per second: `=` for served, `x` for not served."""
-    if not account.owed:
+    if not account.eligible:
         return
-    first = min(account.owed)
-    scale = min(1, _BAR_WIDTH / max(account.owed.values()))
+    first = min(account.eligible)
+    scale = min(1, _BAR_WIDTH / max(account.eligible.values()))
     yield f'{"second":>6}{"requests":>9}{"lost":>6}'
-    for second in range(first, max(account.owed) + 1):
-        yield _render_second(account.owed, account.lost, second, first, scale)
+    for second in range(first, max(account.eligible) + 1):
+        yield _render_second(
+            account.eligible, account.lost, second, first, scale
+        )
 
 
 def _render_second(
-    owed: Counter[int],
+    eligible: Counter[int],
     lost: Counter[int],
     second: int,
     first: int,
     scale: float,
 ) -> str:
-    served = round((owed[second] - lost[second]) * scale)
-    bar = '=' * served + 'x' * round(lost[second] * scale)
-    row = f'{second - first:6}{owed[second]:9}{lost[second]:6}  {bar}'
+    served = round((eligible[second] - lost[second]) * scale)
+    bar_text = '=' * served + 'x' * round(lost[second] * scale)
+    row = f'{second - first:6}{eligible[second]:9}{lost[second]:6}  {bar_text}'
     return row.rstrip()
 
 
