--- a/packages/ragworthollow-ctl/src/ragworthollow_ctl/losses/rendering.py
+++ b/packages/ragworthollow-ctl/src/ragworthollow_ctl/losses/rendering.py
@@ -27,7 +27,8 @@
     lost = account.lost.total()
     late = account.late.total()
     yield (
-        f'{eligible} requests, {lost} not served ({_render_share(lost, eligible)}),'
+        f'{eligible} requests,'
+        f' {lost} not served ({_render_share(lost, eligible)}),'
         f' {late} late ({_render_share(late, eligible)})'
     )
     if lost:
@@ -87,7 +88,11 @@
     yield f'{"second":>6}{"requests":>9}{"lost":>6}'
     for second in range(first, max(account.eligible) + 1):
         yield _render_second(
-            account.eligible, account.lost, second, first, scale
+            account.eligible,
+            account.lost,
+            second,
+            first,
+            scale,
         )
 
 
