--- a/packages/ragworthollow-ctl/src/ragworthollow_ctl/losses/rendering.py
+++ b/packages/ragworthollow-ctl/src/ragworthollow_ctl/losses/rendering.py
@@ -1,4 +1,4 @@
-"""Show an account of losses as text."""
+"""Render a loss account as text."""
 
 from collections import Counter
 from collections.abc import Iterator
@@ -6,8 +6,9 @@
 from ragworthollow_ctl.losses.loss_account import LossAccount
 from ragworthollow_ctl.losses.pool_calls import PoolCalls
 
-# Peers and routes below this rank are summed up in the counts of their cause.
-_ROWS = 20
+# Peers and routes beyond this rank get no row of their own; the totals in the
+# first line include them.
+_MAX_ROWS = 20
 _BAR_WIDTH = 40
 _PERCENT = 100
 _LATE = 'late'
@@ -15,19 +16,20 @@
 
 def render_account(account: LossAccount) -> Iterator[str]:
     """
-    Render the tables and the picture of the day, line by line.
+    Render the summary, the tables and the bar chart, line by line.
 
     Parameters
     ----------
     account : LossAccount
-        What the lines told.
+        Counts of the requests found in the logs.
     """
-    owed = account.owed.total()
+    eligible = account.eligible.total()
     lost = account.lost.total()
     late = account.late.total()
     yield (
-        f'{owed} requests, {lost} not served ({_share(lost, owed)}),'
-        f' {late} late ({_share(late, owed)})'
+        f'{eligible} requests,'
+        f' {lost} not served ({_render_share(lost, eligible)}),'
+        f' {late} late ({_render_share(late, eligible)})'
     )
     if lost:
         yield ''
@@ -44,15 +46,15 @@
 
 def _render_causes(account: LossAccount, lost: int) -> Iterator[str]:
     yield f'{"not served":24}{"peer":24}{"requests":>9}{"share":>8}'
-    for (cause, peer), count in account.causes.most_common(_ROWS):
-        yield f'{cause:24}{peer:24}{count:9}{_share(count, lost):>8}'
+    for (cause, peer), count in account.causes.most_common(_MAX_ROWS):
+        yield f'{cause:24}{peer:24}{count:9}{_render_share(count, lost):>8}'
 
 
 def _render_routes(account: LossAccount) -> Iterator[str]:
     rows = Counter(account.routes)
     rows.update({(route, _LATE): late for route, late in account.late.items()})
     yield f'{"route":24}{"not served, or late":24}{"requests":>9}'
-    for (route, cause), count in rows.most_common(_ROWS):
+    for (route, cause), count in rows.most_common(_MAX_ROWS):
         if count:
             yield f'{route or "-":24}{cause:24}{count:9}'
 
@@ -72,34 +74,40 @@
 
 def _render_limits(calls: PoolCalls) -> str:
     return ', '.join(
-        f'{limit} {_share(count, calls.calls)}'
+        f'{limit} {_render_share(count, calls.calls)}'
         for limit, count in calls.limits.most_common()
     )
 
 
 def _render_seconds(account: LossAccount) -> Iterator[str]:
-    """Draw one bar a second: served as `=`, not served as `x`."""
-    if not account.owed:
+    """Draw one bar per second: `=` for served, `x` for not served."""
+    if not account.eligible:
         return
-    first = min(account.owed)
-    scale = min(1, _BAR_WIDTH / max(account.owed.values()))
+    first = min(account.eligible)
+    scale = min(1, _BAR_WIDTH / max(account.eligible.values()))
     yield f'{"second":>6}{"requests":>9}{"lost":>6}'
-    for second in range(first, max(account.owed) + 1):
-        yield _render_second(account.owed, account.lost, second, first, scale)
+    for second in range(first, max(account.eligible) + 1):
+        yield _render_second(
+            account.eligible,
+            account.lost,
+            second,
+            first,
+            scale,
+        )
 
 
 def _render_second(
-    owed: Counter[int],
+    eligible: Counter[int],
     lost: Counter[int],
     second: int,
     first: int,
     scale: float,
 ) -> str:
-    served = round((owed[second] - lost[second]) * scale)
-    drawn = '=' * served + 'x' * round(lost[second] * scale)
-    row = f'{second - first:6}{owed[second]:9}{lost[second]:6}  {drawn}'
+    served = round((eligible[second] - lost[second]) * scale)
+    bar_text = '=' * served + 'x' * round(lost[second] * scale)
+    row = f'{second - first:6}{eligible[second]:9}{lost[second]:6}  {bar_text}'
     return row.rstrip()
 
 
-def _share(count: int, of_all: int) -> str:
-    return f'{count * _PERCENT / of_all:.1f}%' if of_all else '-'
+def _render_share(count: int, total: int) -> str:
+    return f'{count * _PERCENT / total:.1f}%' if total else '-'
