--- a/packages/ragworthollow-ctl/src/ragworthollow_ctl/commands/status.py
+++ b/packages/ragworthollow-ctl/src/ragworthollow_ctl/commands/status.py
@@ -21,13 +21,13 @@
     """
     client = make_client(entry or ())
     newest = asyncio.run(client.get('snapshot', Snapshot)).manifest.generation
-    processes = asyncio.run(client.get('fleet', tuple[FleetLine, ...]))
+    processes = asyncio.run(client.get('fleet', tuple[ProcessStatus, ...]))
     sys.stdout.writelines(_render(process, newest) for process in processes)
     if any(process.generation != newest for process in processes):
         sys.exit(_BEHIND)
 
 
-def _render(process: FleetLine, newest: int) -> str:
+def _render(process: ProcessStatus, newest: int) -> str:
     generation = '-' if process.generation is None else process.generation
     suffix = '' if process.generation == newest else '  behind'
     return f'{process.instance}  {process.address}  {generation}{suffix}\n'
--- a/packages/ragworthollow-daemon/src/ragworthollow_daemon/entry/operator_routes.py
+++ b/packages/ragworthollow-daemon/src/ragworthollow_daemon/entry/operator_routes.py
@@ -167,8 +167,10 @@
                 error=type(error).__name__,
             )
 
-    async def _fetch_generation(self, instance: str, address: str) -> FleetLine:
-        status = FleetLine(instance=instance, address=address)
+    async def _fetch_generation(
+        self, instance: str, address: str
+    ) -> ProcessStatus:
+        status = ProcessStatus(instance=instance, address=address)
         try:
             async with self._context.session.get(
                 f'http://{address}/status',
@@ -177,7 +179,7 @@
                 body = await response.read()
         except (TimeoutError, ClientError, OSError):
             return status
-        reported = msgspec.json.decode(body, type=FleetLine)
+        reported = msgspec.json.decode(body, type=ProcessStatus)
         return msgspec.structs.replace(status, generation=reported.generation)
 
 
--- a/packages/ragworthollow-daemon/src/ragworthollow_daemon/entry/pool_router.py
+++ b/packages/ragworthollow-daemon/src/ragworthollow_daemon/entry/pool_router.py
@@ -54,7 +54,7 @@
         self,
         pool: str,
         model: str,
-        criteria: Wish,
+        criteria: SelectionCriteria,
     ) -> PeerState | None:
         """
         Choose the sidecar for one attempt.
@@ -63,7 +63,7 @@
         ----------
         pool, model : str
             Pool of the stage, and its model for a generating stage.
-        criteria : Wish
+        criteria : SelectionCriteria
             Affinity key, and instances to avoid.
 
         Returns
--- a/packages/ragworthollow-daemon/src/ragworthollow_daemon/sidecar/slot_queue.py
+++ b/packages/ragworthollow-daemon/src/ragworthollow_daemon/sidecar/slot_queue.py
@@ -66,7 +66,7 @@
             otherwise the refusal. A refused call is certain not to have run.
         """
         now_ms = get_monotonic_ms()
-        accepted = self.queue.offer(ticket, now_ms)
+        accepted = self.queue.enqueue(ticket, now_ms)
         if isinstance(accepted, Err):
             rejection = accepted.err_value
             return Err(
@@ -115,12 +115,12 @@
         """
         self.queue.release(ticket, busy_ms, get_monotonic_ms())
         if is_done:
-            self.queue.observe_service(busy_ms)
+            self.queue.record_service_time(busy_ms)
         self.dispatch_waiting()
 
     def dispatch_waiting(self) -> None:
         """Start calls that have a slot and refuse those past their deadline."""
-        result = self.queue.take(get_monotonic_ms())
+        result = self.queue.dispatch(get_monotonic_ms())
         for expired in result.expired:
             self._refuse(expired, Reason.deadline_exceeded)
         for started in result.started:
@@ -150,7 +150,7 @@
         is_granted = future.done() and not future.cancelled()
         if is_granted and future.result().is_ok():
             self.release(ticket, 0, is_done=False)
-        elif not is_granted and not self.queue.withdraw(ticket):
+        elif not is_granted and not self.queue.cancel(ticket):
             # The slot was granted and the task cancelled in the same iteration
             # of the event loop.
             self.release(ticket, 0, is_done=False)
--- a/packages/ragworthollow/src/ragworthollow/conf/gateway_settings.py
+++ b/packages/ragworthollow/src/ragworthollow/conf/gateway_settings.py
@@ -108,7 +108,7 @@
 
     def get_capacity(self) -> float:
         """Return the number of cores available for hosting schedulers."""
-        return measure_capacity(
+        return compute_capacity(
             cores=self.cpu_share * self.cores,
             link_mbps=self.link_mbps,
         )
--- a/packages/ragworthollow/src/ragworthollow/configuration/follower.py
+++ b/packages/ragworthollow/src/ragworthollow/configuration/follower.py
@@ -48,7 +48,7 @@
         Client of the platform's key-value store.
     store : ConfigurationStore
         Configuration of this process.
-    peers : Peers
+    peers : PeerDirectory
         The other processes of the fleet.
     session : aiohttp.ClientSession
         Authenticated HTTP session for requests to peers.
--- a/packages/ragworthollow/src/ragworthollow/platform/configuration_wire.py
+++ b/packages/ragworthollow/src/ragworthollow/platform/configuration_wire.py
@@ -160,7 +160,7 @@
             key: KeyHolder(
                 organisation=item.name,
                 priority=item.priority,
-                homes=_to_allowed_regions(item.allowed_regions),
+                allowed_regions=_to_allowed_regions(item.allowed_regions),
             )
             for item in tenants
             for key in item.api_keys
@@ -177,8 +177,8 @@
         host=route.host.lower(),
         path_prefix=route.path_prefix,
         kind=route.kind,
-        shares=tuple(
-            PoolShare(pool=split.backend, weight=split.weight)
+        weighted_pools=tuple(
+            WeightedPool(pool=split.backend, weight=split.weight)
             for split in splits
         ),
         stages=tuple(
@@ -195,11 +195,13 @@
         priority=route.priority,
         is_public=route.public,
         can_resume=route.can_resume,
-        homes=_to_allowed_regions(route.allowed_regions),
+        allowed_regions=_to_allowed_regions(route.allowed_regions),
     )
 
 
-def _to_allowed_regions(regions: tuple[str, ...] | None) -> Homes | None:
+def _to_allowed_regions(
+    regions: tuple[str, ...] | None,
+) -> AllowedRegions | None:
     """Return the regions of a list; None, for any, if the list is empty."""
     return frozenset(regions) if regions else None
 
@@ -212,8 +214,8 @@
             batch_limit=service.pieces.batch,
             call_ms=service.pieces.call_ms,
             piece_ms=service.pieces.item_ms,
-            room_bytes=int(service.pieces.headroom_mb * _BYTES_PER_MB),
-            kept_ms=service.pieces.handle_s * 1000,
+            result_space_bytes=int(service.pieces.headroom_mb * _BYTES_PER_MB),
+            result_ttl_ms=service.pieces.handle_s * 1000,
         )
     return UpstreamPool(
         name=service.name,
--- a/packages/ragworthollow/src/ragworthollow/platform/request_wire.py
+++ b/packages/ragworthollow/src/ragworthollow/platform/request_wire.py
@@ -90,7 +90,7 @@
 
 def make_upstream_headers(
     received: CIMultiDictProxy[str],
-    metadata: UpstreamOrder,
+    metadata: AttemptMetadata,
 ) -> CIMultiDict[str]:
     """
     Make the request headers of one attempt.
@@ -99,7 +99,7 @@
     ----------
     received : CIMultiDictProxy
         The caller's headers.
-    metadata : UpstreamOrder
+    metadata : AttemptMetadata
         Values that are specific to this attempt.
     """
     connection_options = {
--- a/packages/ragworthollow/src/ragworthollow/transport/host_messages.py
+++ b/packages/ragworthollow/src/ragworthollow/transport/host_messages.py
@@ -26,12 +26,12 @@
     store_revision, store_timeline : int
         Last revision of the store that it knows, and the restore count of the
         store at that revision.
-    evidence : EvidenceNews, optional
+    evidence : EvidenceUpdate, optional
         Its evidence of crashes.
     leaving_ages_ms : dict of str to float
         Milliseconds since instances reported that they are shutting down, by
         incarnation.
-    named_limits : dict of str to LimitNews
+    named_limits : dict of str to LimitUpdate
         Limits that instances have advertised, by incarnation.
     """
 
@@ -63,14 +63,14 @@
     waits_ms : dict
         Expected waits of a new piece, by pool and priority; None where no
         instance of the pool accepts work.
-    store : StoreNews, optional
+    store : StoreUpdate, optional
         Its update on the store; None before its first read.
-    evidence : EvidenceNews, optional
+    evidence : EvidenceUpdate, optional
         Its evidence of crashes.
     leaving_ages_ms : dict of str to float
         Milliseconds since instances reported that they are shutting down, by
         incarnation.
-    named_limits : dict of str to LimitNews
+    named_limits : dict of str to LimitUpdate
         Limits that instances have advertised, by incarnation.
     """
 
--- a/packages/ragworthollow/src/ragworthollow/transport/piece_messages.py
+++ b/packages/ragworthollow/src/ragworthollow/transport/piece_messages.py
@@ -102,7 +102,7 @@
 
 
 class KeptResultMessage(Message):
-    """Describe a result that takes space; wire form of `KeptResult`."""
+    """Describe a result that takes space; wire form of `StoredResult`."""
 
     handle: str
     instance: str
@@ -112,7 +112,7 @@
 
 
 class ForeignCallMessage(Message):
-    """Describe a call in progress; the wire form of `ForeignCall`."""
+    """Describe a call in progress; the wire form of `RemoteCall`."""
 
     instance: str
     result_bytes: int
@@ -191,8 +191,10 @@
             failure_domain=request.failure_domain,
             priority=request.priority,
             fingerprint=request.fingerprint,
-            homes=None if request.homes is None else frozenset(request.homes),
-            asker=message.asker,
+            allowed_regions=None
+            if request.homes is None
+            else frozenset(request.homes),
+            requester=message.asker,
         )
         for request in message.orders
     )
