--- a/measure/fleet_model/gateway.py
+++ b/measure/fleet_model/gateway.py
@@ -306,7 +306,9 @@
 
     async def _tick(self) -> None:
         while True:
-            await asyncio.sleep(global_settings.GATE_TICK_MS / _MILLISECONDS)
+            await asyncio.sleep(
+                global_settings.SCHEDULER_TICK_MS / _MILLISECONDS
+            )
             await self._network.wait_awake(self.name)
             self.service.advance_all()
             self._deferral.start_ready()
--- a/measure/replica_fleet/fleet.py
+++ b/measure/replica_fleet/fleet.py
@@ -209,12 +209,13 @@
             after=after,
             now_ms=get_boottime_ms(),
             max_bytes=longest_bytes,
-            allow_snapshot=longest_bytes > global_settings.NEWS_BYTES,
+            allow_snapshot=longest_bytes
+            > global_settings.MAX_PING_UPDATE_BYTES,
         )
         await self._wait_awake(asked.number)
         await self._travel(asker, asked)
         await self._wait_awake(asker.number)
-        if longest_bytes == global_settings.NEWS_BYTES:
+        if longest_bytes == global_settings.MAX_PING_UPDATE_BYTES:
             asked.note_answer(len(msgspec.json.encode(news)))
         return news
 
--- a/measure/replica_fleet/model_gateway.py
+++ b/measure/replica_fleet/model_gateway.py
@@ -70,7 +70,7 @@
             intervals=paces,
             get_reader_rank=self._get_place,
             ask_peers=self._ask_peers,
-            jitter=rng.uniform(0, global_settings.TRUST_SPREAD),
+            jitter=rng.uniform(0, global_settings.STALENESS_JITTER),
         )
 
     def apply_entries(self, found: Mapping, _proved_ms: float) -> None:
@@ -106,7 +106,7 @@
         news = await self._ask(
             self,
             other,
-            longest_bytes=global_settings.NEWS_BYTES,
+            longest_bytes=global_settings.MAX_PING_UPDATE_BYTES,
         )
         if news is None:
             self._silent.add(other.number)
@@ -116,7 +116,7 @@
 
     async def _ask_peers(self, _after: StorePosition) -> list[ReceivedUpdate]:
         others = [one for one in self.peers if one is not self]
-        count = min(len(others), global_settings.NEWS_PEERS_ASKED)
+        count = min(len(others), global_settings.UPDATE_PEERS_QUERIED)
         asked_ms = get_boottime_ms()
         answers = await asyncio.gather(
             *(
--- a/measure/throttle_model/policies.py
+++ b/measure/throttle_model/policies.py
@@ -85,7 +85,7 @@
         return SenderQuota(
             senders=gateways,
             requests=requests,
-            window_ms=(_SECOND_MS + global_settings.SENDING_MS)
+            window_ms=(_SECOND_MS + global_settings.REQUEST_TRANSIT_MS)
             * max(1, gateways / self._total),
             requests_at_once=requests,
         )
--- a/packages/ragworthollow-daemon/src/ragworthollow_daemon/drain.py
+++ b/packages/ragworthollow-daemon/src/ragworthollow_daemon/drain.py
@@ -55,5 +55,7 @@
         while not self.is_idle():
             if get_boottime_ms() >= end_ms:
                 return False
-            await asyncio.sleep(global_settings.STOP_STEP_MS / _MS_PER_SECOND)
+            await asyncio.sleep(
+                global_settings.SHUTDOWN_POLL_MS / _MS_PER_SECOND
+            )
         return True
--- a/packages/ragworthollow-daemon/src/ragworthollow_daemon/gateway/admission.py
+++ b/packages/ragworthollow-daemon/src/ragworthollow_daemon/gateway/admission.py
@@ -8,7 +8,7 @@
 from ragworthollow.conf import global_settings
 from ragworthollow.exchange import RequestParameters, TypicalTimeLimits
 from ragworthollow.outcomes import Outcome, Reason
-from ragworthollow.platform.request_wire import read_terms
+from ragworthollow.platform.request_wire import read_request_parameters
 from ragworthollow.quarantine import make_fingerprint
 from ragworthollow.routes import KeyHolder, Route, RouteTable
 from ragworthollow.utils import get_boottime_ms
@@ -57,7 +57,7 @@
         Result
             The admitted request, or the refusal.
         """
-        request_parameters = read_terms(request.headers)
+        request_parameters = read_request_parameters(request.headers)
         table = await self._wait_for_route_table(request_parameters)
         if table is None:
             return _refuse(Reason.not_configured, request.remote)
--- a/packages/ragworthollow-daemon/src/ragworthollow_daemon/gateway/attempt.py
+++ b/packages/ragworthollow-daemon/src/ragworthollow_daemon/gateway/attempt.py
@@ -11,7 +11,7 @@
 from ragworthollow.conf import global_settings
 from ragworthollow.exchange import AttemptMetadata, ResponseMetadata
 from ragworthollow.outcomes import Outcome, Reason
-from ragworthollow.platform.answer_wire import read_marks
+from ragworthollow.platform.answer_wire import read_response_metadata
 from ragworthollow.platform.request_wire import make_upstream_headers
 from ragworthollow.transport.timeouts import make_timeout
 from ragworthollow.upstreams import UpstreamInstance
@@ -210,7 +210,7 @@
     response: aiohttp.ClientResponse,
     sent_ms: float,
 ) -> OpenResult:
-    metadata = read_marks(response.status, response.headers)
+    metadata = read_response_metadata(response.status, response.headers)
     is_verified = metadata.is_signed or metadata.is_not_run
     apply_response_metadata(
         context,
--- a/packages/ragworthollow-daemon/src/ragworthollow_daemon/gateway/call_monitor.py
+++ b/packages/ragworthollow-daemon/src/ragworthollow_daemon/gateway/call_monitor.py
@@ -9,8 +9,8 @@
 from ragworthollow.conf import global_settings
 from ragworthollow.logs.events import log_event
 from ragworthollow.pieces import PieceCall
-from ragworthollow.platform.answer_wire import read_marks
-from ragworthollow.platform.stage_wire import REPORT_PATH, decode_working
+from ragworthollow.platform.answer_wire import read_response_metadata
+from ragworthollow.platform.stage_wire import REPORT_PATH, decode_is_busy
 from ragworthollow.transport.timeouts import make_timeout
 from ragworthollow.upstreams import UpstreamInstance
 from ragworthollow.utils import get_boottime_ms, get_monotonic_ms
@@ -65,10 +65,10 @@
             apply_response_metadata(
                 context,
                 instance,
-                read_marks(response.status, response.headers),
+                read_response_metadata(response.status, response.headers),
                 sent_ms=sent_ms,
             )
-            return decode_working(await response.read())
+            return decode_is_busy(await response.read())
     except (
         TimeoutError,
         aiohttp.ClientError,
@@ -134,7 +134,9 @@
         bool
             Whether the response was lost.
         """
-        overdue_ms = call.expected_ms * global_settings.PIECE_CALL_OVERDUE
+        overdue_ms = (
+            call.expected_ms * global_settings.PIECE_CALL_OVERDUE_FACTOR
+        )
         await asyncio.wait({response}, timeout=overdue_ms / 1000)
         is_slow = False
         while not response.done():
@@ -157,11 +159,13 @@
             return False
         await asyncio.wait(
             {response},
-            timeout=global_settings.PIECE_ANSWER_GRACE_MS / 1000,
+            timeout=global_settings.PIECE_RESPONSE_GRACE_MS / 1000,
         )
         return not response.done()
 
 
 def _is_slow(call: PieceCall) -> bool:
     duration_ms = get_monotonic_ms() - call.started_ms
-    return duration_ms >= call.expected_ms * global_settings.PIECE_CALL_PATIENCE
+    return (
+        duration_ms >= call.expected_ms * global_settings.PIECE_CALL_SLOW_FACTOR
+    )
--- a/packages/ragworthollow-daemon/src/ragworthollow_daemon/gateway/call_result_handler.py
+++ b/packages/ragworthollow-daemon/src/ragworthollow_daemon/gateway/call_result_handler.py
@@ -83,7 +83,9 @@
         completed one, and all pieces of that call missed their objectives.
         """
         duration_ms = now_ms - call.started_ms
-        slow_after_ms = call.expected_ms * global_settings.PIECE_CALL_PATIENCE
+        slow_after_ms = (
+            call.expected_ms * global_settings.PIECE_CALL_SLOW_FACTOR
+        )
         if duration_ms <= slow_after_ms:
             self._context.load_tracker.record_success(call.instance.instance)
 
--- a/packages/ragworthollow-daemon/src/ragworthollow_daemon/gateway/crash_detector.py
+++ b/packages/ragworthollow-daemon/src/ragworthollow_daemon/gateway/crash_detector.py
@@ -102,7 +102,7 @@
         self._crash_times_ms = {
             crashed: at_ms
             for crashed, at_ms in self._crash_times_ms.items()
-            if at_ms > now_ms - global_settings.CRASH_MEMORY_MS
+            if at_ms > now_ms - global_settings.CRASHED_INCARNATION_TTL_MS
         }
         self._crash_times_ms[incarnation] = now_ms
         self._metrics.count_event('upstream_crashed')
--- a/packages/ragworthollow-daemon/src/ragworthollow_daemon/gateway/deferral_queue.py
+++ b/packages/ragworthollow-daemon/src/ragworthollow_daemon/gateway/deferral_queue.py
@@ -144,7 +144,7 @@
             waits_ms, now_ms
         )
         margin_ms = (
-            deferred.job.route.objective_ms * global_settings.DEFERRAL_SPARE
+            deferred.job.route.objective_ms * global_settings.DEFERRAL_MIN_SLACK
         )
         return late_ms <= -margin_ms
 
--- a/packages/ragworthollow-daemon/src/ragworthollow_daemon/gateway/deferral_start_rate.py
+++ b/packages/ragworthollow-daemon/src/ragworthollow_daemon/gateway/deferral_start_rate.py
@@ -31,7 +31,7 @@
         elapsed_ms = (
             0 if self._updated_ms is None else now_ms - self._updated_ms
         )
-        decay = math.exp(-elapsed_ms / global_settings.DEFERRAL_MEMORY_MS)
+        decay = math.exp(-elapsed_ms / global_settings.DEFERRAL_DECAY_MS)
         self._updated_ms = now_ms
         self._started *= decay
         self._expired *= decay
--- a/packages/ragworthollow-daemon/src/ragworthollow_daemon/gateway/latency_estimate.py
+++ b/packages/ragworthollow-daemon/src/ragworthollow_daemon/gateway/latency_estimate.py
@@ -64,8 +64,9 @@
     def _get_caller_give_up_ms(self) -> float:
         """Return when the caller gives up if it has received no event."""
         caller_timeout_ms = max(
-            global_settings.CALLER_PATIENCE_LEAST_MS,
-            self._job.route.objective_ms * global_settings.CALLER_PATIENCE,
+            global_settings.CALLER_TIMEOUT_MIN_MS,
+            self._job.route.objective_ms
+            * global_settings.CALLER_TIMEOUT_FACTOR,
         )
         return min(
             self._job.deadline_ms, self._job.received_ms + caller_timeout_ms
@@ -125,7 +126,7 @@
         if self._is_deferred:
             return self._get_caller_give_up_ms()
         stage_timeout_ms = (
-            self._job.route.objective_ms * global_settings.STAGE_PATIENCE
+            self._job.route.objective_ms * global_settings.STAGE_TIMEOUT_FACTOR
         )
         return min(
             self._job.deadline_ms,
--- a/packages/ragworthollow-daemon/src/ragworthollow_daemon/gateway/peer_routes.py
+++ b/packages/ragworthollow-daemon/src/ragworthollow_daemon/gateway/peer_routes.py
@@ -127,7 +127,7 @@
                         revision=ping.store_revision,
                     ),
                     now_ms=get_boottime_ms(),
-                    max_bytes=global_settings.NEWS_BYTES,
+                    max_bytes=global_settings.MAX_PING_UPDATE_BYTES,
                 ),
                 evidence=quarantine.make_update(ping.instance),
                 leaving_ages_ms=get_leaving_ages_ms(self._context),
--- a/packages/ragworthollow-daemon/src/ragworthollow_daemon/gateway/piece_call.py
+++ b/packages/ragworthollow-daemon/src/ragworthollow_daemon/gateway/piece_call.py
@@ -7,7 +7,7 @@
 from ragworthollow.conf import global_settings
 from ragworthollow.outcomes import Outcome, Reason
 from ragworthollow.pieces import PieceCall, PieceResult
-from ragworthollow.platform.answer_wire import read_marks
+from ragworthollow.platform.answer_wire import read_response_metadata
 from ragworthollow.platform.stage_wire import (
     EXPECT_INSTANCE,
     RUN_PATH,
@@ -84,7 +84,7 @@
     body: bytes,
     sent_ms: float,
 ) -> Result[PieceResults, UpstreamFailure]:
-    metadata = read_marks(response.status, response.headers)
+    metadata = read_response_metadata(response.status, response.headers)
     apply_response_metadata(
         context,
         call.instance,
--- a/packages/ragworthollow-daemon/src/ragworthollow_daemon/gateway/piece_client.py
+++ b/packages/ragworthollow-daemon/src/ragworthollow_daemon/gateway/piece_client.py
@@ -10,7 +10,7 @@
 from ragworthollow.membership.gateway_member import GatewayMember
 from ragworthollow.membership.gateway_members import GatewayMembers
 from ragworthollow.pieces import Piece, PieceOutcome, PieceResult
-from ragworthollow.platform.stage_wire import get_maker_address
+from ragworthollow.platform.stage_wire import get_producer_address
 from ragworthollow.transport.piece_messages import ResultsRelease
 from ragworthollow_daemon.gateway.context import GatewayContext
 from ragworthollow_daemon.gateway.piece_exchange import (
@@ -149,7 +149,7 @@
 
     def find_failure_domain(self, pool: str, handle: str) -> str:
         """Return the domain of a result; '' if its producer has terminated."""
-        address = get_maker_address(handle)
+        address = get_producer_address(handle)
         producer = self._context.directory.find_by_address(pool, address)
         return '' if producer is None else producer.failure_domain
 
@@ -178,7 +178,7 @@
             while not request.done():
                 await asyncio.wait(
                     {request},
-                    timeout=global_settings.GATE_TICK_MS / 1000,
+                    timeout=global_settings.SCHEDULER_TICK_MS / 1000,
                 )
                 if self._members.is_unresponsive(host.instance):
                     break
--- a/packages/ragworthollow-daemon/src/ragworthollow_daemon/gateway/pool_throttle.py
+++ b/packages/ragworthollow-daemon/src/ragworthollow_daemon/gateway/pool_throttle.py
@@ -126,7 +126,9 @@
         # may not send to, and gets its share in every window.
         return ThrottleRefusal(
             reason=Reason.rate_limited,
-            retry_after_ms=min(wait_ms, global_settings.NAMED_LIMIT_WINDOW_MS),
+            retry_after_ms=min(
+                wait_ms, global_settings.ADVERTISED_LIMIT_WINDOW_MS
+            ),
         )
 
     def try_acquire(self, instance: UpstreamInstance) -> bool:
--- a/packages/ragworthollow-daemon/src/ragworthollow_daemon/gateway/quarantine_records.py
+++ b/packages/ragworthollow-daemon/src/ragworthollow_daemon/gateway/quarantine_records.py
@@ -114,7 +114,7 @@
                 ),
             )
         granted = await self._context.store.grant_lease(
-            int(min(remaining_ms, global_settings.LONGEST_LEASE_MS)),
+            int(min(remaining_ms, global_settings.MAX_LEASE_MS)),
         )
         if isinstance(granted, Err):
             return self._check_write(granted)
--- a/packages/ragworthollow-daemon/src/ragworthollow_daemon/gateway/refusals.py
+++ b/packages/ragworthollow-daemon/src/ragworthollow_daemon/gateway/refusals.py
@@ -78,6 +78,6 @@
         wait_ms = failure.retry_after_ms
         if wait_ms is None or math.isinf(wait_ms):
             wait_ms = global_settings.GATEWAY_RETRY_AFTER_MS
-        jitter = 1 + rng.random() * global_settings.RETRY_AFTER_SPREAD
+        jitter = 1 + rng.random() * global_settings.RETRY_AFTER_JITTER
         response.headers['Retry-After'] = f'{wait_ms * jitter / 1000:.3f}'
     return response
--- a/packages/ragworthollow-daemon/src/ragworthollow_daemon/gateway/request_handler.py
+++ b/packages/ragworthollow-daemon/src/ragworthollow_daemon/gateway/request_handler.py
@@ -7,7 +7,7 @@
 
 from ragworthollow.logs.events import log_event
 from ragworthollow.outcomes import Outcome, Reason
-from ragworthollow.platform.request_wire import read_terms
+from ragworthollow.platform.request_wire import read_request_parameters
 from ragworthollow.utils import get_boottime_ms, get_monotonic_ms
 from ragworthollow_daemon.gateway.admission import Admission
 from ragworthollow_daemon.gateway.context import GatewayContext
@@ -131,7 +131,7 @@
         self._context.metrics.count_request(route, outcome, reason)
         self._context.metrics.latency.record('request', elapsed_ms)
         request_parameters = (
-            read_terms(request.headers)
+            read_request_parameters(request.headers)
             if job is None
             else job.request_parameters
         )
--- a/packages/ragworthollow-daemon/src/ragworthollow_daemon/gateway/requester_tracker.py
+++ b/packages/ragworthollow-daemon/src/ragworthollow_daemon/gateway/requester_tracker.py
@@ -44,7 +44,7 @@
 
     def pop_terminated(self, now_ms: float) -> list[str]:
         """Return terminated incarnations and remove them."""
-        oldest_ms = now_ms - global_settings.ASKER_SILENT_MS
+        oldest_ms = now_ms - global_settings.REQUESTER_TIMEOUT_MS
         terminated = [
             incarnation
             for incarnation, requester in self._requesters.items()
--- a/packages/ragworthollow-daemon/src/ragworthollow_daemon/gateway/response_metadata.py
+++ b/packages/ragworthollow-daemon/src/ragworthollow_daemon/gateway/response_metadata.py
@@ -72,7 +72,7 @@
     return {
         incarnation: now_ms - since_ms
         for incarnation, since_ms in context.directory.get_leaving().items()
-        if now_ms - since_ms < global_settings.LEAVING_TOLD_MS
+        if now_ms - since_ms < global_settings.LEAVING_NOTIFY_MS
     }
 
 
--- a/packages/ragworthollow-daemon/src/ragworthollow_daemon/gateway/result_releases.py
+++ b/packages/ragworthollow-daemon/src/ragworthollow_daemon/gateway/result_releases.py
@@ -6,11 +6,11 @@
 
 from ragworthollow.conf import global_settings
 from ragworthollow.logs.events import log_event
-from ragworthollow.platform.answer_wire import read_marks
+from ragworthollow.platform.answer_wire import read_response_metadata
 from ragworthollow.platform.stage_wire import (
     EXPECT_INSTANCE,
-    FREE_PATH,
-    encode_free,
+    RELEASE_RESULTS_PATH,
+    encode_release,
 )
 from ragworthollow.transport.timeouts import make_timeout
 from ragworthollow.upstreams import UpstreamInstance
@@ -99,8 +99,8 @@
     sent_ms = get_boottime_ms()
     try:
         async with context.upstream_session.post(
-            f'http://{instance.address}{FREE_PATH}',
-            data=encode_free(handles),
+            f'http://{instance.address}{RELEASE_RESULTS_PATH}',
+            data=encode_release(handles),
             headers={
                 'Content-Type': _JSON,
                 EXPECT_INSTANCE: instance.instance,
@@ -113,7 +113,7 @@
             apply_response_metadata(
                 context,
                 instance,
-                read_marks(response.status, response.headers),
+                read_response_metadata(response.status, response.headers),
                 sent_ms=sent_ms,
             )
             await response.read()
--- a/packages/ragworthollow-daemon/src/ragworthollow_daemon/gateway/result_space_recorder.py
+++ b/packages/ragworthollow-daemon/src/ragworthollow_daemon/gateway/result_space_recorder.py
@@ -55,7 +55,7 @@
             scheduler.result_space.record_untracked(
                 call.instance.instance,
                 int(max(0, call.free_bytes - stored_bytes)),
-                get_monotonic_ms() + global_settings.ROOM_RETRY_MS,
+                get_monotonic_ms() + global_settings.RESULT_SPACE_RETRY_MS,
             )
 
     def record_lost(
--- a/packages/ragworthollow-daemon/src/ragworthollow_daemon/gateway/result_use_reporter.py
+++ b/packages/ragworthollow-daemon/src/ragworthollow_daemon/gateway/result_use_reporter.py
@@ -7,7 +7,7 @@
 from ragworthollow.membership.gateway_member import GatewayMember
 from ragworthollow.membership.gateway_members import GatewayMembers
 from ragworthollow.pieces import Piece, PieceResult, StoredResult
-from ragworthollow.platform.stage_wire import get_maker_address
+from ragworthollow.platform.stage_wire import get_producer_address
 from ragworthollow.transport.piece_messages import GateTransfer
 from ragworthollow.utils import get_monotonic_ms
 from ragworthollow_daemon.gateway.context import GatewayContext
@@ -102,6 +102,6 @@
         await notify_peer(self._context, host, TRANSFER_PATH, body)
 
     def _find_producer(self, pool: str, handle: str) -> str:
-        address = get_maker_address(handle)
+        address = get_producer_address(handle)
         producer = self._context.directory.find_by_address(pool, address)
         return '' if producer is None else producer.instance
--- a/packages/ragworthollow-daemon/src/ragworthollow_daemon/gateway/role.py
+++ b/packages/ragworthollow-daemon/src/ragworthollow_daemon/gateway/role.py
@@ -162,7 +162,7 @@
         if not await self.context.drain.wait_quiet(remaining_ms):
             self.context.stop.abort()
             await self.context.drain.wait_quiet(
-                global_settings.GATEWAY_LAST_ANSWERS_MS,
+                global_settings.GATEWAY_FINAL_RESPONSES_MS,
             )
         await self.membership.end()
         log_event(
@@ -181,7 +181,7 @@
 
     async def _tick(self, request_handler: RequestHandler) -> None:
         while True:
-            await asyncio.sleep(global_settings.GATE_TICK_MS / 1000)
+            await asyncio.sleep(global_settings.SCHEDULER_TICK_MS / 1000)
             self._handover.check()
             self._piece_client.notify_new_hosts()
             self.service.advance_all()
--- a/packages/ragworthollow-daemon/src/ragworthollow_daemon/gateway/scheduler_handover.py
+++ b/packages/ragworthollow-daemon/src/ragworthollow_daemon/gateway/scheduler_handover.py
@@ -184,7 +184,7 @@
         RemoteCall(
             instance=call.instance,
             result_bytes=call.result_bytes,
-            expires_ms=now_ms + global_settings.FOREIGN_CALL_MS,
+            expires_ms=now_ms + global_settings.REMOTE_CALL_TTL_MS,
         )
         for call in calls
     ]
--- a/packages/ragworthollow-daemon/src/ragworthollow_daemon/gateway/scheduler_registry.py
+++ b/packages/ragworthollow-daemon/src/ragworthollow_daemon/gateway/scheduler_registry.py
@@ -13,7 +13,7 @@
     PieceResult,
     PieceScheduler,
 )
-from ragworthollow.platform.stage_wire import get_maker_address
+from ragworthollow.platform.stage_wire import get_producer_address
 from ragworthollow.routes import PieceProfile
 from ragworthollow.utils import get_monotonic_ms
 from ragworthollow_daemon.gateway.context import GatewayContext
@@ -69,7 +69,7 @@
         if producer:
             return producer
         instance = self._context.directory.find_by_address(
-            pool, get_maker_address(handle)
+            pool, get_producer_address(handle)
         )
         return '' if instance is None else instance.instance
 
--- a/packages/ragworthollow-daemon/src/ragworthollow_daemon/gateway/shutdown_state.py
+++ b/packages/ragworthollow-daemon/src/ragworthollow_daemon/gateway/shutdown_state.py
@@ -40,7 +40,7 @@
         self._started_ms = now_ms
         margin_ms = (
             global_settings.GATEWAY_STOP_MARGIN_MS
-            + global_settings.GATEWAY_LAST_ANSWERS_MS
+            + global_settings.GATEWAY_FINAL_RESPONSES_MS
         )
         self._deadline_ms = now_ms + grace_ms - margin_ms
 
@@ -52,7 +52,9 @@
         """Wait for `max_ms`, but only while requests can still finish."""
         wait_until_ms = min(get_boottime_ms() + max_ms, self._deadline_ms)
         while get_boottime_ms() < wait_until_ms:
-            await asyncio.sleep(global_settings.STOP_STEP_MS / _MILLISECONDS)
+            await asyncio.sleep(
+                global_settings.SHUTDOWN_POLL_MS / _MILLISECONDS
+            )
 
     def accepts(self, route: Route, limit_ms: float, now_ms: float) -> bool:
         """
--- a/packages/ragworthollow-daemon/src/ragworthollow_daemon/gateway/store_poller.py
+++ b/packages/ragworthollow-daemon/src/ragworthollow_daemon/gateway/store_poller.py
@@ -219,7 +219,7 @@
 
     def _is_notification_due(self) -> bool:
         since_ms = get_boottime_ms() - self._last_notified_ms
-        return since_ms >= global_settings.FOLLOWERS_TOLD_MS
+        return since_ms >= global_settings.SUBSCRIBER_NOTIFY_INTERVAL_MS
 
     def _notify(self) -> None:
         now_ms = get_boottime_ms()
@@ -237,9 +237,9 @@
         changes = await self._context.store.read_changes(
             _ALL_KEYS,
             after_revision=self._replica.view.revision,
-            longest_bytes=max(
+            max_bytes=max(
                 self._replica.view.size_bytes,
-                global_settings.STORE_CHANGES_LEAST_BYTES,
+                global_settings.MIN_STORE_CHANGES_BYTES,
             ),
         )
         if isinstance(changes, Err):
@@ -252,7 +252,7 @@
             changes.ok_value,
         ):
             return await self._read_all_keys()
-        if changes.ok_value.is_whole:
+        if changes.ok_value.is_complete:
             return Ok(None)
         self._context.metrics.count_event('store_change_unheard')
         return await self._read_all_keys()
@@ -273,7 +273,7 @@
             for subscriber in self._subscribers:
                 subscriber.handle_store_unavailable('restored from a copy')
         self._context.metrics.count_event('store_read_whole')
-        is_short = now_ms - began_ms <= global_settings.STORE_REREAD_LONGEST_MS
+        is_short = now_ms - began_ms <= global_settings.MAX_STORE_REREAD_MS
         self._last_full_read_ms = now_ms
         self._next_full_read_ms = (
             now_ms + global_settings.STORE_REREAD_MS
--- a/packages/ragworthollow-daemon/src/ragworthollow_daemon/gateway/store_poller_factory.py
+++ b/packages/ragworthollow-daemon/src/ragworthollow_daemon/gateway/store_poller_factory.py
@@ -45,7 +45,7 @@
         ),
         get_reader_rank=members.get_reader_rank,
         ask_peers=update_client.request_updates,
-        jitter=context.rng.uniform(0, global_settings.TRUST_SPREAD),
+        jitter=context.rng.uniform(0, global_settings.STALENESS_JITTER),
     )
 
 
--- a/packages/ragworthollow-daemon/src/ragworthollow_daemon/gateway/update_client.py
+++ b/packages/ragworthollow-daemon/src/ragworthollow_daemon/gateway/update_client.py
@@ -74,7 +74,7 @@
             if member.instance != self._context.settings.instance
             and not self._members.is_unresponsive(member.instance)
         ]
-        count = min(len(peers), global_settings.NEWS_PEERS_ASKED)
+        count = min(len(peers), global_settings.UPDATE_PEERS_QUERIED)
         return self._context.rng.sample(peers, count)
 
     async def _fetch(
--- a/packages/ragworthollow-daemon/src/ragworthollow_daemon/sidecar/record_reader.py
+++ b/packages/ragworthollow-daemon/src/ragworthollow_daemon/sidecar/record_reader.py
@@ -84,7 +84,7 @@
         result = await self._context.key_value.read_prefix(self._prefix)
         if isinstance(result, Err):
             return None
-        entries = result.ok_value.found
+        entries = result.ok_value.entries
         absent = Stored(timeline=result.ok_value.timeline)
         stored = entries.get(self.assignment_key, absent)
         if stored.get_position() > self._stored_assignment.get_position():
--- a/packages/ragworthollow/src/ragworthollow/conf/global_settings.py
+++ b/packages/ragworthollow/src/ragworthollow/conf/global_settings.py
@@ -51,8 +51,8 @@
 CONFIGURATION_RETRY_MS = 300
 CONFIGURATION_REREAD_MS = 30_000
 CHANGE_ATTEMPTS = 8
-RETIRED_FILES_KEPT = 16
-CONFIGURATION_PEERS_ASKED = 6
+MAX_RETIRED_FILES = 16
+CONFIGURATION_PEERS_QUERIED = 6
 HISTORY_LENGTH = 50
 LARGE_FILE_WARNING_BYTES = 32_000
 
@@ -101,7 +101,7 @@
 ENGINE_LEASE_FACTOR = 3
 
 # Metrics.
-HISTOGRAM_HIGHEST_US = 60_000_000
+HISTOGRAM_MAX_US = 60_000_000
 HISTOGRAM_DIGITS = 2
 
 # Attempts.
@@ -131,20 +131,20 @@
 # end of the outage.  It is shorter by one poll, since only the arrival of the
 # next list ends it: an instance that shuts down just then must get no request
 # after the 2 s that it may.
-LAPSED_ENTRY_MS = 1_400
+EXPIRED_ENTRY_GRACE_MS = 1_400
 # Initial time out of rotation after a failure; it doubles with each further
 # failure, up to 2**4 times.
 UPSTREAM_SUSPECT_MS = 500
 SUSPECT_DOUBLINGS_LIMIT = 4
 # Weight of the load that other gateways report.  It is as old as its report and
 # reaches all gateways at once: half of it keeps gateways from moving together.
-REPORTED_LOAD_TRUST = 0.5
+REPORTED_LOAD_WEIGHT = 0.5
 # Number of responses over which the time to a first event is averaged: a few
 # seconds of a pool's work at one gateway, so that the average follows a burst.
-ANSWER_TIME_SAMPLES = 40
+FIRST_EVENT_LATENCY_SAMPLES = 40
 # Number of responses from which that average is used; a fit to fewer samples is
 # mostly noise.
-ANSWER_TIME_LEAST_SAMPLES = 4
+FIRST_EVENT_LATENCY_MIN_SAMPLES = 4
 # Consistent hashing with bounded loads: an instance above this multiple of the
 # mean load, plus a twentieth of its slots, passes requests on to the next in
 # rank.
@@ -162,7 +162,7 @@
 # Multiple of a request's latency objective after which its stage work is
 # abandoned: a late result still has some worth, but its caller is blocked
 # meanwhile.
-STAGE_PATIENCE = 2.0
+STAGE_TIMEOUT_FACTOR = 2.0
 # Scheduling advantage of each step of priority: a more urgent request is ranked
 # as if it were due this much earlier; about one call.
 PRIORITY_STEP_MS = 250
@@ -180,51 +180,51 @@
 ADMISSION_MARGIN = 0.15
 # Callers abandon a stream that has not started after this multiple of its
 # latency objective, and not before the minimum.
-CALLER_PATIENCE = 4.0
-CALLER_PATIENCE_LEAST_MS = 2_000
+CALLER_TIMEOUT_FACTOR = 4.0
+CALLER_TIMEOUT_MIN_MS = 2_000
 # Part of its latency objective that a deferred request must be expected to have
 # left before it starts, estimated as if it had just arrived with the lowest
 # priority.
-DEFERRAL_SPARE = 0.22
+DEFERRAL_MIN_SLACK = 0.22
 # Safety margin below a caller's timeout for what estimates do not include: one
 # call and the wait for it.
 DEFERRAL_MARGIN_MS = 500
 # Time constant with which the counts of started and expired deferred requests
 # decay: about as long as a request is deferred.
-DEFERRAL_MEMORY_MS = 5_000
+DEFERRAL_DECAY_MS = 5_000
 # Part of its time limit that a request waits for the first configuration.
 CONFIGURATION_WAIT_SHARE = 0.25
 # Number of requests of a route from which the typical time limit is derived: a
 # few seconds of a route's traffic at one gateway, so that a new limit soon
 # becomes the typical limit.
-USUAL_LIMIT_SAMPLES = 25
+TYPICAL_LIMIT_SAMPLES = 25
 # How often the same limit has to occur among these to count as typical of its
 # callers; the delays before a retry vary by hundreds of milliseconds.
-USUAL_LIMIT_REPEATS = 3
+TYPICAL_LIMIT_REPEATS = 3
 # Maximum difference between equal limits on arrival; transport takes a part of
 # each.
 LIMIT_TOLERANCE_MS = 10
 # How far below the typical limit a request's limit shows that its caller has
 # waited before; transport takes some milliseconds of a limit, a refusal with
 # its back-off more.
-WAITED_LEAST_MS = 100
+MIN_WAITED_MS = 100
 # Time constant with which the measurement of a queue's throughput decays: a few
 # calls of 300 to 400 ms.
-DRAIN_RATE_MEMORY_MS = 1_500
+QUEUE_THROUGHPUT_DECAY_MS = 1_500
 # Minimum time with a backlog before the measured throughput is used: about two
 # calls.
-DRAIN_RATE_LEAST_MS = 600
+QUEUE_THROUGHPUT_MIN_MS = 600
 # How long a scheduler remembers results that were released before it learned of
 # them; another scheduler reports what it has produced in its next scheduling
 # cycle, every 50 ms.
-FREED_MEMORY_MS = 2_000
+RELEASED_RESULT_TTL_MS = 2_000
 # How long the calls of another scheduler count after its last report; it
 # reports in each of its scheduling cycles, every 50 ms, and three reports may
 # be lost.
-FOREIGN_CALL_MS = 200
+REMOTE_CALL_TTL_MS = 200
 # How long the observed result space of an instance is used where it is below
 # the accounted space; results are released every few hundred milliseconds.
-ROOM_RETRY_MS = 100
+RESULT_SPACE_RETRY_MS = 100
 # An engine reads the inputs of a request before its prompt; the prompt takes
 # hundreds of milliseconds, the inputs a few.  With this delay none of 1,800
 # requests under heavy load found its inputs released.
@@ -233,20 +233,20 @@
 # fit into the result space of an instance.
 WHOLE_STAGE_CALLS = 2
 # Factor on the sizes of results, which are approximate.
-ROOM_MARGIN = 1.04
+RESULT_SPACE_MARGIN = 1.04
 
 # Gateway: shutdown, retries and the store.
 
 # Time that the platform grants between SIGTERM and SIGKILL.
 GATEWAY_GRACE_S = 8.0
 # How often a process that is shutting down checks whether it may exit.
-STOP_STEP_MS = 20
+SHUTDOWN_POLL_MS = 20
 # Time before SIGKILL at which the process exits by itself, so that it logs the
 # requests that it aborts; a core may be taken away for a tenth of a second at a
 # time.
 GATEWAY_STOP_MARGIN_MS = 300
 # Time before that in which every request without a response gets one.
-GATEWAY_LAST_ANSWERS_MS = 300
+GATEWAY_FINAL_RESPONSES_MS = 300
 # How long after SIGTERM new streams are accepted: the balancer moves away
 # within this time, and a stream lasts for seconds.
 GATEWAY_LATE_STREAM_MS = 2_500
@@ -271,20 +271,20 @@
 # Delay before the second attempt of a lost call.
 STORE_RETRY_MS = 50
 # Time that the store and another gateway take to respond, transport included.
-STORE_ANSWER_MS = 50
-PEER_ANSWER_MS = 50
+STORE_RESPONSE_MS = 50
+PEER_RESPONSE_MS = 50
 # Part of a change's time bound within which a gateway sees the change even if
 # one call is lost; the rest allows for a core that is taken away and for
 # applying the change.
 CHANGE_SEEN_SHARE = 0.65
 # Minimum age of its copy at which the first gateway reads the store, as a part
 # of the maximum staleness: earlier reads gain nothing where the bound is tight.
-READ_LEAST_SHARE = 0.4
+MIN_READ_SHARE = 0.4
 # Maximum delay between attempts during a store outage, as a part of the bound.
 STORE_RETRY_SHARE = 0.2
 # Jitter of the reads of gateways that receive nothing from others, as a part of
 # the maximum staleness: otherwise they would all read at the same moment.
-TRUST_SPREAD = 0.15
+STALENESS_JITTER = 0.15
 # Default bandwidth of an instance's link.
 LINK_MBPS = 1_000
 # Default time bounds of the installation.
@@ -297,29 +297,29 @@
 WARM_UP_BURST_SLACK = 0
 # Time between the choice of an instance for a request and the request's
 # arrival there.
-SENDING_MS = 100
-WARM_UPS_KEPT = 2_000
+REQUEST_TRANSIT_MS = 100
+MAX_WARM_UPS = 2_000
 # Maximum number of instances whose limits are remembered; several times the
 # size of a fleet.
-NAMED_LIMITS_KEPT = 4_096
+MAX_ADVERTISED_LIMITS = 4_096
 # How long an advertised limit is valid unless a response repeats it.  Gateways
 # that may send probe every few seconds as long as they have callers for the
 # pool.
-NAMED_LIMIT_BELIEVED_MS = 60_000
+ADVERTISED_LIMIT_TTL_MS = 60_000
 # What the platform allows in any window where an instance has advertised a
 # limit: a multiple of the limit, and a fixed number of requests on top.
-NAMED_LIMIT_WINDOW_MS = 4_000
-NAMED_LIMIT_RATIO = 1.5
-NAMED_LIMIT_SLACK = 5
+ADVERTISED_LIMIT_WINDOW_MS = 4_000
+ADVERTISED_LIMIT_RATIO = 1.5
+ADVERTISED_LIMIT_SLACK = 5
 # Rate at which an instance that accepts no requests is probed, to find out
 # whether it accepts them again.
-NAMED_LIMIT_LEAST_PER_S = 1 / 60
+ADVERTISED_LIMIT_MIN_PER_S = 1 / 60
 # Maximum number of limits in one message between gateways, 1.8 KB.  Each
 # gateway sends to a few others several times a second; at this rate all limits
 # of a fleet of 700 take ten seconds to spread.
-LIMITS_IN_MESSAGE = 16
+MAX_LIMITS_PER_MESSAGE = 16
 # How long a limit that has changed is sent before others: a few pings.
-LIMITS_TOLD_FIRST_MS = 2_000
+CHANGED_LIMIT_PRIORITY_MS = 2_000
 INSTANCE_HEARTBEAT_MS = 1_200
 # How long keys that the store lost when it was restored from a backup stay
 # valid unless they are written again: their writers notice the loss within
@@ -330,28 +330,28 @@
 STORE_SELF_CHECK_MS = 30_000
 # How often subscribers are notified that nothing has changed; records that
 # expired in an outage are dropped on this notification.
-FOLLOWERS_TOLD_MS = 250
+SUBSCRIBER_NOTIFY_INTERVAL_MS = 250
 # Maximum number of removed keys that are remembered for other gateways; a
 # gateway that is further behind reads everything.
-REMOVED_KEYS_KEPT = 1_000
+MAX_REMOVED_KEYS = 1_000
 # Maximum size of changes that the response to a ping carries: hundreds of
 # gateways ping the same host, whose link may have little bandwidth.
-NEWS_BYTES = 4_096
+MAX_PING_UPDATE_BYTES = 4_096
 # Maximum size of an update that is decompressed: a few times the size of the
 # store's largest value and the records of a thousand instances.
-NEWS_LONGEST_BYTES = 8_000_000
+MAX_UNPACKED_UPDATE_BYTES = 8_000_000
 # Number of gateways that are queried when the store does not respond.
-NEWS_PEERS_ASKED = 2
+UPDATE_PEERS_QUERIED = 2
 # How often all keys are read although their changes are watched, as a guard
 # against a change that no watch reports.
 STORE_REREAD_MS = 5_000
 # Maximum duration of a read of all keys that is repeated for this purpose: a
 # change made meanwhile waits for the end of the read, and the link is shared
 # with callers.
-STORE_REREAD_LONGEST_MS = 150
+MAX_STORE_REREAD_MS = 150
 # Size up to which changes are read even where all keys take fewer bytes: this
 # takes 26 ms at 5 Mbit/s, less than the additional call that it saves.
-STORE_CHANGES_LEAST_BYTES = 16_384
+MIN_STORE_CHANGES_BYTES = 16_384
 # Maximum duration of an exchange in which bytes keep arriving.  The largest
 # value of the store, 1 MB (1.4 MB as sent), takes 2.2 s at 5 Mbit/s, and four
 # times as long beside callers' traffic and another read.
@@ -371,19 +371,19 @@
 # A gateway that has not pinged a host for this long counts as terminated, and
 # what its requests hold is released; it pings every 250 ms, and a core may be
 # taken away for a tenth of a second at a time.
-ASKER_SILENT_MS = 1_000
+REQUESTER_TIMEOUT_MS = 1_000
 # Interval between pings of a scheduler's host.  A host that does not respond in
 # time is replaced; a core may be taken away for a tenth of a second at a time.
 HOST_PING_MS = 250
 # Number of members ranked after the host of a scheduler whose responsiveness
 # should be known, and the maximum number of unresponsive members that are
 # pinged for each scheduler at a time.
-HOST_SUCCESSORS = 2
-SILENT_ASKED_MOST = 4
+HOST_CANDIDATES = 2
+MAX_UNRESPONSIVE_PINGED = 4
 # Bandwidth that a scheduler's messages use per core of CPU time, and the size
 # class of gateways that can host next to nothing: 2**-6 of a core.
 HOST_MBPS_PER_CORE = 20
-HOST_LEAST_CLASS = -6
+HOST_MIN_SIZE_CLASS = -6
 HOST_PING_TIMEOUT_MS = 500
 PEER_CONNECT_TIMEOUT_MS = 300
 
@@ -399,39 +399,39 @@
 ATTEMPT_TIME_SHARE = 0.5
 # A stage call that takes this multiple of its expected time is slow: its pieces
 # are also tried on another instance.
-PIECE_CALL_PATIENCE = 2.5
+PIECE_CALL_SLOW_FACTOR = 2.5
 # A stage call that takes this multiple of its expected time makes the gateway
 # query its instance; call times are accurate to about a tenth.
-PIECE_CALL_OVERDUE = 1.25
+PIECE_CALL_OVERDUE_FACTOR = 1.25
 # Delay between two such queries: about one call.
 PIECE_CALL_PROBE_MS = 300
 # How long a response may still be in transit from an instance that is idle.
-PIECE_ANSWER_GRACE_MS = 50
+PIECE_RESPONSE_GRACE_MS = 50
 # A stage call that takes this long is not expected to be answered any more.
 PIECE_CALL_TIMEOUT_MS = 6_000
 PIECE_ATTEMPTS = 3
-GATE_TICK_MS = 50
+SCHEDULER_TICK_MS = 50
 # Minimum delay after which a refused caller may retry; a jitter of a half keeps
 # callers that are refused together from returning together.
 GATEWAY_RETRY_AFTER_MS = 400
-RETRY_AFTER_SPREAD = 0.5
+RETRY_AFTER_JITTER = 0.5
 # Size of the data exchanged with neighbouring stages from which a stage's
 # pieces wait for a local instance; a smaller result crosses the network in a
 # fraction of a millisecond.
-NEAR_BYTES = 200_000
+LOCALITY_MIN_BYTES = 200_000
 # Part of a piece's slack that it may wait for an instance local to the consumer
 # of its result.  0.3 serves better under load than 0.2 and 0.4; in light
 # traffic 0.4 loses two percentage points of timely responses for each point of
 # traffic between domains that it saves.
-NEAR_WAIT_SHARE = 0.3
+LOCALITY_WAIT_SHARE = 0.3
 
 # Maximum number of instances that are remembered as shutting down; a fleet
 # replaces fewer while their records can still be listed.
-NOTICES_KEPT = 4_096
+MAX_LEAVING_INSTANCES = 4_096
 # How long other gateways are notified of an instance that is shutting down: by
 # then the store has its record, or its outage has lasted longer than instances
 # take to shut down.
-LEAVING_TOLD_MS = 60_000
+LEAVING_NOTIFY_MS = 60_000
 
 # Gateway: requests that crash instances.
 
@@ -444,18 +444,18 @@
 QUARANTINE_DOUBLINGS_LIMIT = 3
 # Maximum lease that the store grants; a record that expires before its
 # quarantine is missed only if all gateways terminate at once after that.
-LONGEST_LEASE_MS = 600_000
+MAX_LEASE_MS = 600_000
 # Maximum number of requests that are remembered: several crashes of instances
 # with every slot in use.
-SUSPECTS_KEPT = 4_096
+MAX_CRASH_RECORDS = 4_096
 # How often expired crash evidence is removed.
-EVIDENCE_FORGET_MS = 10_000
+EVIDENCE_CLEANUP_INTERVAL_MS = 10_000
 # Maximum number of reports in one message between gateways; the rest follows
 # with the next ping.
-EVIDENCE_REPORTS = 256
+MAX_EVIDENCE_REPORTS = 256
 # How long a crashed incarnation is remembered: longer than the records of a
 # terminated instance stay listed.
-CRASH_MEMORY_MS = 30_000
+CRASHED_INCARNATION_TTL_MS = 30_000
 
 # Logs: a process serves some tens of requests a second and writes two or three
 # lines for each; lines above this rate are counted and dropped.
--- a/packages/ragworthollow/src/ragworthollow/configuration/follower.py
+++ b/packages/ragworthollow/src/ragworthollow/configuration/follower.py
@@ -81,7 +81,7 @@
         """
         peers = [
             *self._peers.get_own_watchers(),
-            *self._peers.sample(global_settings.CONFIGURATION_PEERS_ASKED),
+            *self._peers.sample(global_settings.CONFIGURATION_PEERS_QUERIED),
         ]
         for peer in peers:
             await self.pull(peer.address, wait_ms=0)
--- a/packages/ragworthollow/src/ragworthollow/exchange/typical_time_limits.py
+++ b/packages/ragworthollow/src/ragworthollow/exchange/typical_time_limits.py
@@ -40,16 +40,16 @@
         """
         recent = self._recent.setdefault(
             route,
-            deque(maxlen=global_settings.USUAL_LIMIT_SAMPLES),
+            deque(maxlen=global_settings.TYPICAL_LIMIT_SAMPLES),
         )
         matching = sum(
             abs(recent_ms - limit_ms) <= global_settings.LIMIT_TOLERANCE_MS
             for recent_ms in recent
         )
         recent.append(limit_ms)
-        if matching >= global_settings.USUAL_LIMIT_REPEATS:
+        if matching >= global_settings.TYPICAL_LIMIT_REPEATS:
             return 0
         waited_ms = statistics.median(recent) - limit_ms
-        if waited_ms < global_settings.WAITED_LEAST_MS:
+        if waited_ms < global_settings.MIN_WAITED_MS:
             return 0
         return waited_ms
--- a/packages/ragworthollow/src/ragworthollow/membership/gateway_members.py
+++ b/packages/ragworthollow/src/ragworthollow/membership/gateway_members.py
@@ -287,6 +287,6 @@
             candidates.append(name)
         elif name not in leaving:
             responsive += 1
-        if responsive > global_settings.HOST_SUCCESSORS:
+        if responsive > global_settings.HOST_CANDIDATES:
             break
-    return candidates[: global_settings.SILENT_ASKED_MOST]
+    return candidates[: global_settings.MAX_UNRESPONSIVE_PINGED]
--- a/packages/ragworthollow/src/ragworthollow/membership/host_capacity.py
+++ b/packages/ragworthollow/src/ragworthollow/membership/host_capacity.py
@@ -34,8 +34,8 @@
         last.
     """
     if capacity <= 0:
-        return global_settings.HOST_LEAST_CLASS
+        return global_settings.HOST_MIN_SIZE_CLASS
     return max(
-        global_settings.HOST_LEAST_CLASS,
+        global_settings.HOST_MIN_SIZE_CLASS,
         math.floor(math.log2(capacity)),
     )
--- a/packages/ragworthollow/src/ragworthollow/metrics/latency.py
+++ b/packages/ragworthollow/src/ragworthollow/metrics/latency.py
@@ -36,13 +36,13 @@
         if histogram is None:
             histogram = HdrHistogram(
                 1,
-                global_settings.HISTOGRAM_HIGHEST_US,
+                global_settings.HISTOGRAM_MAX_US,
                 global_settings.HISTOGRAM_DIGITS,
             )
             self._histograms[step] = histogram
         elapsed_us = max(1, int(elapsed_ms * _MICROSECONDS_PER_MILLISECOND))
         histogram.record_value(
-            min(elapsed_us, global_settings.HISTOGRAM_HIGHEST_US),
+            min(elapsed_us, global_settings.HISTOGRAM_MAX_US),
         )
         self._sums_us[step] = self._sums_us.get(step, 0) + elapsed_us
 
--- a/packages/ragworthollow/src/ragworthollow/pieces/locality.py
+++ b/packages/ragworthollow/src/ragworthollow/pieces/locality.py
@@ -29,6 +29,6 @@
     if not bytes_by_domain:
         return ''
     best = max(bytes_by_domain, key=bytes_by_domain.__getitem__)
-    if bytes_by_domain[best] < global_settings.NEAR_BYTES:
+    if bytes_by_domain[best] < global_settings.LOCALITY_MIN_BYTES:
         return ''
     return best
--- a/packages/ragworthollow/src/ragworthollow/pieces/order.py
+++ b/packages/ragworthollow/src/ragworthollow/pieces/order.py
@@ -75,7 +75,7 @@
     if wait_ms is None or domain == instance.failure_domain:
         return False
     slack_ms = waiting.piece.due_ms - now_ms
-    return wait_ms < slack_ms * global_settings.NEAR_WAIT_SHARE
+    return wait_ms < slack_ms * global_settings.LOCALITY_WAIT_SHARE
 
 
 def can_wait_for_domain(
--- a/packages/ragworthollow/src/ragworthollow/pieces/queue_throughput.py
+++ b/packages/ragworthollow/src/ragworthollow/pieces/queue_throughput.py
@@ -44,7 +44,9 @@
         elapsed_ms = (
             0 if self._recorded_ms is None else now_ms - self._recorded_ms
         )
-        decay = math.exp(-elapsed_ms / global_settings.DRAIN_RATE_MEMORY_MS)
+        decay = math.exp(
+            -elapsed_ms / global_settings.QUEUE_THROUGHPUT_DECAY_MS
+        )
         self._recorded_ms = now_ms
         self._pieces *= decay
         self._backlog_ms *= decay
@@ -55,6 +57,6 @@
 
     def estimate_ms(self, pieces_ahead: int) -> float:
         """Return the time for a number of pieces; 0 while it is unknown."""
-        if self._backlog_ms < global_settings.DRAIN_RATE_LEAST_MS:
+        if self._backlog_ms < global_settings.QUEUE_THROUGHPUT_MIN_MS:
             return 0
         return pieces_ahead * self._backlog_ms / max(1, self._pieces)
--- a/packages/ragworthollow/src/ragworthollow/pieces/result_space.py
+++ b/packages/ragworthollow/src/ragworthollow/pieces/result_space.py
@@ -85,7 +85,7 @@
             if expires_ms <= now_ms:
                 self._released_expires_ms.pop(released)
         self._released_expires_ms[handle] = (
-            now_ms + global_settings.FREED_MEMORY_MS
+            now_ms + global_settings.RELEASED_RESULT_TTL_MS
         )
         return ''
 
--- a/packages/ragworthollow/src/ragworthollow/pieces/scheduler.py
+++ b/packages/ragworthollow/src/ragworthollow/pieces/scheduler.py
@@ -315,7 +315,9 @@
         used: dict[str, int],
         now_ms: float,
     ) -> PieceCall | None:
-        space_bytes = profile.result_space_bytes / global_settings.ROOM_MARGIN
+        space_bytes = (
+            profile.result_space_bytes / global_settings.RESULT_SPACE_MARGIN
+        )
         free_bytes = space_bytes - used.get(instance.instance, 0)
         taken = select_pieces(
             [
--- a/packages/ragworthollow/src/ragworthollow/platform/answer_wire.py
+++ b/packages/ragworthollow/src/ragworthollow/platform/answer_wire.py
@@ -41,7 +41,9 @@
 )
 
 
-def read_marks(status: int, headers: Mapping[str, str]) -> ResponseMetadata:
+def read_response_metadata(
+    status: int, headers: Mapping[str, str]
+) -> ResponseMetadata:
     """
     Decode the metadata of a response from its headers.
 
--- a/packages/ragworthollow/src/ragworthollow/platform/request_wire.py
+++ b/packages/ragworthollow/src/ragworthollow/platform/request_wire.py
@@ -63,7 +63,7 @@
 )
 
 
-def read_terms(headers: Mapping[str, str]) -> RequestParameters:
+def read_request_parameters(headers: Mapping[str, str]) -> RequestParameters:
     """
     Decode the headers that determine how a request is served.
 
--- a/packages/ragworthollow/src/ragworthollow/platform/restored_order.py
+++ b/packages/ragworthollow/src/ragworthollow/platform/restored_order.py
@@ -61,7 +61,7 @@
     return False
 
 
-def may_outlive_loss(key: str) -> bool:
+def is_retained_after_loss(key: str) -> bool:
     """
     Return whether a key that the store has lost stays valid for a while.
 
--- a/packages/ragworthollow/src/ragworthollow/platform/stage_wire.py
+++ b/packages/ragworthollow/src/ragworthollow/platform/stage_wire.py
@@ -8,7 +8,7 @@
 from ragworthollow.utils.message import Message
 
 RUN_PATH = '/api/stage-run'
-FREE_PATH = '/api/stage-free'
+RELEASE_RESULTS_PATH = '/api/stage-free'
 REPORT_PATH = '/api/report'
 EXPECT_INSTANCE = 'X-Ragworthollow-Expect-Instance'
 
@@ -124,12 +124,12 @@
     )
 
 
-def get_maker_address(handle: str) -> str:
+def get_producer_address(handle: str) -> str:
     """Return the address in a handle, which starts with `IP:PORT/`."""
     return handle.partition('/')[0]
 
 
-def decode_working(text: bytes) -> bool:
+def decode_is_busy(text: bytes) -> bool:
     """
     Return whether an instance reports calls in progress or in the queue.
 
@@ -142,6 +142,6 @@
     return bool(report.busy or report.waiting)
 
 
-def encode_free(handles: tuple[str, ...]) -> bytes:
+def encode_release(handles: tuple[str, ...]) -> bytes:
     """Encode the request that releases results."""
     return msgspec.json.encode(_ReleaseRequest(handles=handles))
--- a/packages/ragworthollow/src/ragworthollow/platform/store_changes.py
+++ b/packages/ragworthollow/src/ragworthollow/platform/store_changes.py
@@ -19,7 +19,7 @@
         Revisions at which keys were removed, by key.
     revision : int
         Revision of the last change; the requested revision if nothing changed.
-    is_whole : bool
+    is_complete : bool
         Whether the store has no later revision.  A watch may miss changes; the
         revision of the store is then ahead of the last change that the watch
         has received.
@@ -30,5 +30,5 @@
     written: Mapping[str, Stored]
     removed: Mapping[str, int]
     revision: int
-    is_whole: bool
+    is_complete: bool
     timeline: int = 0
--- a/packages/ragworthollow/src/ragworthollow/platform/store_reader.py
+++ b/packages/ragworthollow/src/ragworthollow/platform/store_reader.py
@@ -139,7 +139,7 @@
             if not page.has_more or not page.items:
                 return Ok(
                     StoreSnapshot(
-                        found=entries,
+                        entries=entries,
                         revision=revision,
                         size_bytes=size_bytes,
                         timeline=timeline,
@@ -152,7 +152,7 @@
         prefix: str,
         *,
         after_revision: int,
-        longest_bytes: int,
+        max_bytes: int,
     ) -> Result[StoreChanges | None, PlatformError]:
         """
         Read the changes of the keys under a prefix after a revision.
@@ -169,7 +169,7 @@
             Prefix of the keys.
         after_revision : int
             Revision of the last known change.
-        longest_bytes : int
+        max_bytes : int
             Maximum size of the response; above it a read of all keys is
             shorter, since each change carries its full value.
 
@@ -183,7 +183,7 @@
             prefix,
             after_revision=after_revision,
             wait_ms=0,
-            max_bytes=longest_bytes,
+            max_bytes=max_bytes,
         )
         return result.map(
             lambda watched: (
@@ -325,7 +325,7 @@
                 if event.tombstone
             },
             revision=revision,
-            is_whole=page.as_of <= revision,
+            is_complete=page.as_of <= revision,
             timeline=watched.timeline,
         )
 
--- a/packages/ragworthollow/src/ragworthollow/platform/store_snapshot.py
+++ b/packages/ragworthollow/src/ragworthollow/platform/store_snapshot.py
@@ -14,7 +14,7 @@
 
     Attributes
     ----------
-    found : mapping of str to Stored
+    entries : mapping of str to Stored
         Stored values, by key.
     revision : int
         Revision of the store when the first page was read.  Later pages may
@@ -25,7 +25,7 @@
         Restore count of the store at the time of the read.
     """
 
-    found: Mapping[str, Stored]
+    entries: Mapping[str, Stored]
     revision: int
     size_bytes: int
     timeline: int = 0
--- a/packages/ragworthollow/src/ragworthollow/quarantine/crash_registry.py
+++ b/packages/ragworthollow/src/ragworthollow/quarantine/crash_registry.py
@@ -31,7 +31,7 @@
         *,
         crash_limit: int,
         quarantine_ms: float,
-        max_records: int = global_settings.SUSPECTS_KEPT,
+        max_records: int = global_settings.MAX_CRASH_RECORDS,
     ) -> None:
         self._crash_limit = crash_limit
         self._quarantine_ms = quarantine_ms
@@ -163,7 +163,9 @@
         is_full = len(self._records) > self._max_records
         if not is_full and now_ms < self._next_forget_ms:
             return
-        self._next_forget_ms = now_ms + global_settings.EVIDENCE_FORGET_MS
+        self._next_forget_ms = (
+            now_ms + global_settings.EVIDENCE_CLEANUP_INTERVAL_MS
+        )
         max_quarantine_ms = (
             self._quarantine_ms * 2**global_settings.QUARANTINE_DOUBLINGS_LIMIT
         )
--- a/packages/ragworthollow/src/ragworthollow/quarantine/evidence_exchange.py
+++ b/packages/ragworthollow/src/ragworthollow/quarantine/evidence_exchange.py
@@ -88,7 +88,7 @@
             return None
         peer.needs_ack = False
         changes = self._registry.list_changes(peer.acked_number)
-        changes = changes[: global_settings.EVIDENCE_REPORTS]
+        changes = changes[: global_settings.MAX_EVIDENCE_REPORTS]
         return EvidenceUpdate(
             teller=self._incarnation,
             number=changes[-1][0] if changes else self._registry.last_number,
--- a/packages/ragworthollow/src/ragworthollow/replica/poll_intervals.py
+++ b/packages/ragworthollow/src/ragworthollow/replica/poll_intervals.py
@@ -67,11 +67,11 @@
     heartbeat_ms : float
         Interval at which instances renew their records.
     """
-    step_ms = global_settings.HOST_PING_MS + global_settings.PEER_ANSWER_MS
+    step_ms = global_settings.HOST_PING_MS + global_settings.PEER_RESPONSE_MS
     failed_call_ms = (
         global_settings.STORE_TIMEOUT_MS
         + global_settings.STORE_RETRY_MS
-        + global_settings.STORE_ANSWER_MS
+        + global_settings.STORE_RESPONSE_MS
     )
     max_staleness_ms = max(
         step_ms,
@@ -86,7 +86,7 @@
         max_staleness_ms=max_staleness_ms,
         reader_staleness_ms=max(
             reader_staleness_ms,
-            max_staleness_ms * global_settings.READ_LEAST_SHARE,
+            max_staleness_ms * global_settings.MIN_READ_SHARE,
         ),
         step_ms=step_ms,
         max_retry_ms=bound_ms * global_settings.STORE_RETRY_SHARE,
--- a/packages/ragworthollow/src/ragworthollow/replica/replica.py
+++ b/packages/ragworthollow/src/ragworthollow/replica/replica.py
@@ -7,7 +7,7 @@
 
 from ragworthollow.platform.restored_order import (
     is_newer_value,
-    may_outlive_loss,
+    is_retained_after_loss,
     may_stay_removed,
 )
 from ragworthollow.platform.store_changes import StoreChanges
@@ -58,7 +58,7 @@
         self.freshness = Freshness()
         self._retained = RetainedKeys(
             is_newer=is_newer_value,
-            may_outlive=may_outlive_loss,
+            may_outlive=is_retained_after_loss,
             may_stay_removed=may_stay_removed,
         )
 
@@ -92,7 +92,7 @@
             self._retained.start_retention(
                 self.get_entries(now_ms),
                 self.view.get_removed(),
-                snapshot.found,
+                snapshot.entries,
                 now_ms,
             )
         before = self.view.entries
@@ -151,7 +151,7 @@
                 written=self.view.entries,
                 removed={},
                 revision=self.view.revision,
-                is_whole=True,
+                is_complete=True,
                 timeline=self.view.timeline,
             )
         update = StoreUpdate(
@@ -238,7 +238,7 @@
             size_bytes = sum(len(entry.text) for entry in update.written)
             self.replace(
                 StoreSnapshot(
-                    found=written,
+                    entries=written,
                     revision=update.revision,
                     size_bytes=size_bytes,
                     timeline=update.timeline,
@@ -251,7 +251,7 @@
                 written=written,
                 removed=update.removed,
                 revision=update.revision,
-                is_whole=True,
+                is_complete=True,
                 timeline=update.timeline,
             ),
         )
--- a/packages/ragworthollow/src/ragworthollow/replica/store_view.py
+++ b/packages/ragworthollow/src/ragworthollow/replica/store_view.py
@@ -64,11 +64,11 @@
             self._removed = {}
             self._removals_known_after = snapshot.revision
         elif self.revision:
-            missing = self._entries.keys() - snapshot.found.keys()
+            missing = self._entries.keys() - snapshot.entries.keys()
             self._record_removed(dict.fromkeys(missing, snapshot.revision))
         else:
             self._removals_known_after = snapshot.revision
-        self._entries = dict(snapshot.found)
+        self._entries = dict(snapshot.entries)
         self.revision = snapshot.revision
         self.timeline = snapshot.timeline
         self.size_bytes = snapshot.size_bytes
@@ -128,7 +128,7 @@
                 written={},
                 removed={},
                 revision=self.revision,
-                is_whole=True,
+                is_complete=True,
                 timeline=self.timeline,
             )
         return StoreChanges(
@@ -143,13 +143,13 @@
                 if revision > after_revision
             },
             revision=self.revision,
-            is_whole=True,
+            is_complete=True,
             timeline=self.timeline,
         )
 
     def _record_removed(self, removed: Mapping[str, int]) -> None:
         self._removed.update(removed)
-        excess = len(self._removed) - global_settings.REMOVED_KEYS_KEPT
+        excess = len(self._removed) - global_settings.MAX_REMOVED_KEYS
         if excess <= 0:
             return
         by_revision = sorted(self._removed.items(), key=itemgetter(1))
--- a/packages/ragworthollow/src/ragworthollow/replica/update_codec.py
+++ b/packages/ragworthollow/src/ragworthollow/replica/update_codec.py
@@ -27,7 +27,7 @@
     try:
         decompressed = zlib.decompressobj().decompress(
             body,
-            global_settings.NEWS_LONGEST_BYTES,
+            global_settings.MAX_UNPACKED_UPDATE_BYTES,
         )
         update = msgspec.json.decode(decompressed, type=StoreUpdate | None)
     except (zlib.error, msgspec.DecodeError) as error:
--- a/packages/ragworthollow/src/ragworthollow/throttling/advertised_limits.py
+++ b/packages/ragworthollow/src/ragworthollow/throttling/advertised_limits.py
@@ -95,11 +95,11 @@
             Latest limits of the chosen instances, by incarnation, including
             limits that ended.
         """
-        max_limits = global_settings.LIMITS_IN_MESSAGE
+        max_limits = global_settings.MAX_LIMITS_PER_MESSAGE
         recent = [
             incarnation
             for incarnation, changed_ms in self._changed_ms.items()
-            if now_ms - changed_ms < global_settings.LIMITS_TOLD_FIRST_MS
+            if now_ms - changed_ms < global_settings.CHANGED_LIMIT_PRIORITY_MS
         ]
         chosen = recent[-max_limits:]
         others = self._get_next_in_turn(max_limits - len(chosen))
@@ -143,10 +143,10 @@
     """Store a value as the latest, and drop the oldest beyond a limit."""
     stored.pop(incarnation, None)
     stored[incarnation] = newest
-    while len(stored) > global_settings.NAMED_LIMITS_KEPT:
+    while len(stored) > global_settings.MAX_ADVERTISED_LIMITS:
         stored.pop(next(iter(stored)))
 
 
 def _get_remaining_ms(sent_ms: float, now_ms: float) -> float:
-    expires_ms = sent_ms + global_settings.NAMED_LIMIT_BELIEVED_MS
+    expires_ms = sent_ms + global_settings.ADVERTISED_LIMIT_TTL_MS
     return max(0, expires_ms - now_ms)
--- a/packages/ragworthollow/src/ragworthollow/throttling/limits.py
+++ b/packages/ragworthollow/src/ragworthollow/throttling/limits.py
@@ -66,13 +66,13 @@
         Advertised limit.  Even if it is 0, a request is sent now and then to
         find out whether it still applies.
     """
-    rate = max(requests_per_s, global_settings.NAMED_LIMIT_LEAST_PER_S)
-    window_ms = global_settings.NAMED_LIMIT_WINDOW_MS
+    rate = max(requests_per_s, global_settings.ADVERTISED_LIMIT_MIN_PER_S)
+    window_ms = global_settings.ADVERTISED_LIMIT_WINDOW_MS
     max_requests = (
-        rate * window_ms / _SECOND_MS * global_settings.NAMED_LIMIT_RATIO
+        rate * window_ms / _SECOND_MS * global_settings.ADVERTISED_LIMIT_RATIO
     )
     return RateLimits(
         requests_per_s=rate,
-        burst=math.floor(max_requests + global_settings.NAMED_LIMIT_SLACK),
+        burst=math.floor(max_requests + global_settings.ADVERTISED_LIMIT_SLACK),
         window_ms=window_ms,
     )
--- a/packages/ragworthollow/src/ragworthollow/throttling/quota.py
+++ b/packages/ragworthollow/src/ragworthollow/throttling/quota.py
@@ -62,7 +62,7 @@
     senders = max(1, min(gateways, math.floor(total)))
     requests = max(1, math.floor(total / senders))
     # A request arrives some time after its instance was chosen.
-    window_ms = limits.window_ms + global_settings.SENDING_MS
+    window_ms = limits.window_ms + global_settings.REQUEST_TRANSIT_MS
     return SenderQuota(
         senders=senders,
         requests=requests,
--- a/packages/ragworthollow/src/ragworthollow/throttling/warm_up_tracker.py
+++ b/packages/ragworthollow/src/ragworthollow/throttling/warm_up_tracker.py
@@ -53,5 +53,5 @@
     """Store a time, and drop the times that were stored longest ago."""
     stored_until_ms.pop(incarnation, None)
     stored_until_ms[incarnation] = until_ms
-    while len(stored_until_ms) > global_settings.WARM_UPS_KEPT:
+    while len(stored_until_ms) > global_settings.MAX_WARM_UPS:
         stored_until_ms.pop(next(iter(stored_until_ms)))
--- a/packages/ragworthollow/src/ragworthollow/upstreams/choice.py
+++ b/packages/ragworthollow/src/ragworthollow/upstreams/choice.py
@@ -110,7 +110,7 @@
     """Return the load as a fraction of the instance's slots."""
     record = load_tracker.get(candidate.instance)
     others = (
-        record.get_other_requests(now_ms) * global_settings.REPORTED_LOAD_TRUST
+        record.get_other_requests(now_ms) * global_settings.REPORTED_LOAD_WEIGHT
     )
     return (record.in_flight + others) / max(1, candidate.slots)
 
--- a/packages/ragworthollow/src/ragworthollow/upstreams/directory.py
+++ b/packages/ragworthollow/src/ragworthollow/upstreams/directory.py
@@ -40,12 +40,13 @@
     """
     Track which instances may receive requests.
 
-    An instance that announces its shutdown, or whose entry is gone, receives
-    no new requests once the list is applied.  There is one exception: during
-    an outage of the store, the entries of live instances may expire, and they
-    return within seconds of its recovery.  Removing them at once would empty
-    the pools, so missing entries are kept until `LAPSED_ENTRY_MS` after the
-    first list that is read after the outage.
+    An instance that announces its shutdown, or whose entry is gone,
+    receives no new requests once the list is applied.  There is one
+    exception: during an outage of the store, the entries of live instances
+    may expire, and they return within seconds of its recovery.  Removing
+    them at once would empty the pools, so missing entries are kept until
+    `EXPIRED_ENTRY_GRACE_MS` after the first list that is read after the
+    outage.
 
     This period starts with that list, not when an entry goes missing.  An
     instance whose entry disappears a second after the store has recovered has
@@ -247,7 +248,7 @@
         never starts later than the time at which the entry went missing.
         """
         since_ms = min(self._recovered_ms, self._missing_since_ms[name])
-        return now_ms - since_ms < global_settings.LAPSED_ENTRY_MS
+        return now_ms - since_ms < global_settings.EXPIRED_ENTRY_GRACE_MS
 
 
 def _group_by_pool(
--- a/packages/ragworthollow/src/ragworthollow/upstreams/first_event_latency.py
+++ b/packages/ragworthollow/src/ragworthollow/upstreams/first_event_latency.py
@@ -35,7 +35,7 @@
         took_ms : float
             Time from sending the request to the first event.
         """
-        decay = 1 - 1 / global_settings.ANSWER_TIME_SAMPLES
+        decay = 1 - 1 / global_settings.FIRST_EVENT_LATENCY_SAMPLES
         self._weight = self._weight * decay + 1
         self._tokens = self._tokens * decay + tokens
         self._duration_ms = self._duration_ms * decay + took_ms
@@ -46,7 +46,7 @@
 
     def estimate_ms(self, tokens: int) -> float:
         """Return the expected time to the first event; 0 if unknown."""
-        if self._weight < global_settings.ANSWER_TIME_LEAST_SAMPLES:
+        if self._weight < global_settings.FIRST_EVENT_LATENCY_MIN_SAMPLES:
             return 0
         mean_tokens = self._tokens / self._weight
         mean_ms = self._duration_ms / self._weight
--- a/packages/ragworthollow/src/ragworthollow/upstreams/instance_signals.py
+++ b/packages/ragworthollow/src/ragworthollow/upstreams/instance_signals.py
@@ -22,7 +22,9 @@
         if incarnation in self._leaving_since_ms:
             return False
         self._leaving_since_ms[incarnation] = since_ms
-        while len(self._leaving_since_ms) > global_settings.NOTICES_KEPT:
+        while (
+            len(self._leaving_since_ms) > global_settings.MAX_LEAVING_INSTANCES
+        ):
             self._leaving_since_ms.pop(next(iter(self._leaving_since_ms)))
         return True
 
--- a/tests/features/steps/domain_drains.py
+++ b/tests/features/steps/domain_drains.py
@@ -337,13 +337,13 @@
     listed = _store('servers/i1')
     for replica in (teller, hearer):
         replica.view.replace(
-            StoreSnapshot(found=listed, revision=1, size_bytes=1),
+            StoreSnapshot(entries=listed, revision=1, size_bytes=1),
         )
         replica.freshness.record(0)
     drain_key = f'{_PREFIX}two'
     teller.view.replace(
         StoreSnapshot(
-            found={**listed, drain_key: Stored(mod_revision=2)},
+            entries={**listed, drain_key: Stored(mod_revision=2)},
             revision=2,
             size_bytes=1,
         ),
--- a/tests/features/steps/gateway.py
+++ b/tests/features/steps/gateway.py
@@ -376,7 +376,7 @@
     return elapsed_ms > (
         global_settings.GATEWAY_BALANCER_LAG_MS
         + global_settings.GATEWAY_STOP_MARGIN_MS
-        + 4 * global_settings.GATEWAY_LAST_ANSWERS_MS
+        + 4 * global_settings.GATEWAY_FINAL_RESPONSES_MS
     )
 
 
--- a/tests/features/steps/late_service.py
+++ b/tests/features/steps/late_service.py
@@ -20,8 +20,8 @@
 _SEEDS = (1, 2, 3)
 _PATTERNS = ('bursts', 'lost-gin-sync')
 _NO_DEFERRAL = (
-    Setting(name='CALLER_PATIENCE', value=0),
-    Setting(name='CALLER_PATIENCE_LEAST_MS', value=0),
+    Setting(name='CALLER_TIMEOUT_FACTOR', value=0),
+    Setting(name='CALLER_TIMEOUT_MIN_MS', value=0),
 )
 _PRIORITIES = (2, 0, 1)
 
@@ -69,7 +69,7 @@
         """Let the deferral advance as a gateway does."""
         while self.get_ms() < until_ms:
             self.deferral.start_ready()
-            await asyncio.sleep(global_settings.GATE_TICK_MS / 1000)
+            await asyncio.sleep(global_settings.SCHEDULER_TICK_MS / 1000)
 
     async def play(self, *deferred, until_ms: float = 6000) -> None:
         sending = [asyncio.ensure_future(one) for one in deferred]
--- a/tests/features/steps/named_limits.py
+++ b/tests/features/steps/named_limits.py
@@ -260,10 +260,10 @@
 @then('each is told in turn, those that have changed first')
 def check_told(context):
     limits = AdvertisedLimits()
-    room = global_settings.LIMITS_IN_MESSAGE
+    room = global_settings.MAX_LIMITS_PER_MESSAGE
     for number in range(3 * room):
         limits.record(f'i{number}@0', _make_answer(1, 0, 1))
-    now_ms = global_settings.LIMITS_TOLD_FIRST_MS + 10
+    now_ms = global_settings.CHANGED_LIMIT_PRIORITY_MS + 10
     limits.record('i0@0', _make_answer(2, now_ms - 2, now_ms - 1))
     told = [limits.choose_to_send(now_ms) for _ in range(4)]
     assert all('i0@0' in one and len(one) <= room for one in told)
@@ -275,7 +275,7 @@
 def check_end(context):
     limits = AdvertisedLimits()
     limits.record('u1@0', _make_answer(1, 0, 10))
-    believed_ms = global_settings.NAMED_LIMIT_BELIEVED_MS
+    believed_ms = global_settings.ADVERTISED_LIMIT_TTL_MS
     assert limits.find('u1@0', believed_ms - 1)
     assert not limits.find('u1@0', believed_ms)
     assert math.isclose(
--- a/tests/features/steps/overload.py
+++ b/tests/features/steps/overload.py
@@ -34,8 +34,8 @@
 _ROUTE = 'r'
 # What the door does by itself: nothing that it turns away is served later.
 _NO_DEFERRAL = (
-    Setting(name='CALLER_PATIENCE', value=0),
-    Setting(name='CALLER_PATIENCE_LEAST_MS', value=0),
+    Setting(name='CALLER_TIMEOUT_FACTOR', value=0),
+    Setting(name='CALLER_TIMEOUT_MIN_MS', value=0),
 )
 # Admission as it was before: up to 100 ms late, for objectives of about 2 s.
 _NO_MARGIN = (Setting(name='ADMISSION_MARGIN', value=-0.05),)
--- a/tests/features/steps/store_restored.py
+++ b/tests/features/steps/store_restored.py
@@ -292,7 +292,7 @@
 
 def _snapshot(found, revision: int, timeline: int) -> StoreSnapshot:
     return StoreSnapshot(
-        found=found,
+        entries=found,
         revision=revision,
         size_bytes=1,
         timeline=timeline,
--- a/tests/features/steps/store_view.py
+++ b/tests/features/steps/store_view.py
@@ -32,16 +32,17 @@
 class _HastyClient(StoreClient):
     """Go on from the revision of the store, whatever was heard."""
 
-    async def read_changes(self, prefix, *, after_revision, longest_bytes):
+    async def read_changes(self, prefix, *, after_revision, max_bytes):
         answer = await super().read_changes(
             prefix,
             after_revision=after_revision,
-            longest_bytes=longest_bytes,
+            max_bytes=max_bytes,
         )
         revision = self.session.revision
         return answer.map(
             lambda changes: (
-                changes and replace(changes, revision=revision, is_whole=True)
+                changes
+                and replace(changes, revision=revision, is_complete=True)
             ),
         )
 
--- a/tests/features/steps/warm_up.py
+++ b/tests/features/steps/warm_up.py
@@ -130,7 +130,7 @@
 def check_remembered(context):
     warm_ups = make_throttle().warm_ups
     warm_ups.record_entry('old@1', 0)
-    for number in range(global_settings.WARM_UPS_KEPT - 1):
+    for number in range(global_settings.MAX_WARM_UPS - 1):
         warm_ups.record_entry(f'other@{number}', 0)
     warm_ups.record_entry('old@1', 1000)
     warm_ups.record_entry('new@1', 0)
