--- a/measure/fleet_model/day.py
+++ b/measure/fleet_model/day.py
@@ -23,7 +23,7 @@
 from measure.fleet_model.virtual_time import VirtualLoop
 from ragworthollow.conf import GatewaySettings
 from ragworthollow.upstreams import UpstreamInstance
-from ragworthollow.utils import use_monotonic
+from ragworthollow.utils import override_clocks
 
 _MILLISECONDS = 1000
 # The followers of a gateway notice a change of instances so late.
@@ -72,7 +72,7 @@
         """Play the day on a loop of its own."""
         loop = VirtualLoop()
         try:
-            with use_monotonic(loop.get_ms):
+            with override_clocks(loop.get_ms):
                 loop.run_until_complete(self._play())
         finally:
             loop.close()
--- a/measure/replica_fleet/fleet.py
+++ b/measure/replica_fleet/fleet.py
@@ -14,7 +14,7 @@
 from measure.replica_fleet.store_session import StoreSession
 from ragworthollow.conf import global_settings
 from ragworthollow.replica import StoreUpdate, derive_poll_intervals
-from ragworthollow.utils import get_boottime_ms, use_monotonic
+from ragworthollow.utils import get_boottime_ms, override_clocks
 
 _MILLISECONDS = 1000
 _ONE_WAY_MS = 1
@@ -106,7 +106,7 @@
 
     async def play(self) -> FleetOutcome:
         loop = asyncio.get_running_loop()
-        with use_monotonic(loop.get_ms):
+        with override_clocks(loop.get_ms):
             tasks = [asyncio.ensure_future(one.run()) for one in self.gateways]
             tasks.append(asyncio.ensure_future(self._trouble_store()))
             await asyncio.sleep(_START_MS / _MILLISECONDS)
--- a/packages/ragworthollow-ctl/src/ragworthollow_ctl/commands/apply.py
+++ b/packages/ragworthollow-ctl/src/ragworthollow_ctl/commands/apply.py
@@ -6,8 +6,8 @@
 
 from ragworthollow.checks import render_messages
 from ragworthollow.configuration.change_request import (
-    ChangeAnswer,
     ChangeRequest,
+    ChangeResponse,
 )
 from ragworthollow.configuration.snapshot import Snapshot
 from ragworthollow.utils import make_identifier
@@ -68,7 +68,7 @@
         puts=difference.puts,
         removals=difference.removals,
     )
-    response = asyncio.run(client.post('changes', request, ChangeAnswer))
+    response = asyncio.run(client.post('changes', request, ChangeResponse))
     _report_outcome(folder, client, request, response)
 
 
@@ -82,7 +82,7 @@
     folder: Path,
     client: ServiceClient,
     request: ChangeRequest,
-    response: ChangeAnswer,
+    response: ChangeResponse,
 ) -> None:
     if response.problems:
         sys.stderr.write(f'{render_messages(response.problems)}\n')
--- a/packages/ragworthollow-daemon/src/ragworthollow_daemon/entry/operator_routes.py
+++ b/packages/ragworthollow-daemon/src/ragworthollow_daemon/entry/operator_routes.py
@@ -9,8 +9,8 @@
 
 from ragworthollow.conf import global_settings
 from ragworthollow.configuration.change_request import (
-    ChangeAnswer,
     ChangeRequest,
+    ChangeResponse,
 )
 from ragworthollow.configuration.publisher import Publisher
 from ragworthollow.configuration.snapshot import Snapshot
@@ -73,7 +73,7 @@
             )
         except msgspec.DecodeError as error:
             return respond(
-                ChangeAnswer(
+                ChangeResponse(
                     accepted=False,
                     reason=Reason.bad_request,
                     detail=str(error),
--- a/packages/ragworthollow-daemon/src/ragworthollow_daemon/entry/pool_router.py
+++ b/packages/ragworthollow-daemon/src/ragworthollow_daemon/entry/pool_router.py
@@ -3,7 +3,7 @@
 import asyncio
 
 from ragworthollow.conf import global_settings
-from ragworthollow.engines import get_carriers
+from ragworthollow.engines import get_model_engines
 from ragworthollow.platform.instance_list import InstanceEntry, InstanceState
 from ragworthollow.retries import RetryBudget
 from ragworthollow.routing import (
@@ -35,7 +35,7 @@
         self._subsets: dict[tuple[str, str], list[PeerState]] = {}
         self._budgets: dict[str, RetryBudget] = {}
         self._listed_revision = -1
-        context.store.listen(self._subsets.clear)
+        context.store.add_listener(self._subsets.clear)
 
     async def run(self) -> None:
         """Eject stragglers periodically until cancelled."""
@@ -109,7 +109,7 @@
         live = [entry for entry in members if entry.state is InstanceState.live]
         if not model:
             return live
-        carriers = get_carriers(
+        carriers = get_model_engines(
             self._context.store.deployment,
             model,
             [entry.instance for entry in members],
--- a/packages/ragworthollow-daemon/src/ragworthollow_daemon/entry/request_validator.py
+++ b/packages/ragworthollow-daemon/src/ragworthollow_daemon/entry/request_validator.py
@@ -13,7 +13,7 @@
 from ragworthollow.outcomes import Outcome, Reason, Refusal
 from ragworthollow.transport import OnceKey
 from ragworthollow.utils import (
-    get_birth_ms,
+    get_creation_ms,
     get_monotonic_ms,
     get_wall_ms,
     hash_secret,
@@ -155,14 +155,14 @@
         return Ok(
             OnceKey(
                 key=key.lower(),
-                born_ms=get_birth_ms(key) or 0,
+                born_ms=get_creation_ms(key) or 0,
                 fresh=chosen is None,
                 fingerprint=_hash_inputs(body),
             ),
         )
 
     def _check_idempotency_key(self, key: str) -> Refusal | None:
-        born_ms = get_birth_ms(key)
+        born_ms = get_creation_ms(key)
         if born_ms is None:
             return self._make_refusal(
                 Reason.bad_idempotency_key,
--- a/packages/ragworthollow-daemon/src/ragworthollow_daemon/process_context.py
+++ b/packages/ragworthollow-daemon/src/ragworthollow_daemon/process_context.py
@@ -6,7 +6,7 @@
 import aiohttp
 
 from ragworthollow.conf import DaemonSettings, global_settings
-from ragworthollow.configuration.follower import Follower
+from ragworthollow.configuration.follower import ConfigurationSynchronizer
 from ragworthollow.configuration.store import ConfigurationStore
 from ragworthollow.logs.events import log_error
 from ragworthollow.membership import PeerDirectory
@@ -55,7 +55,7 @@
             url=settings.platform.instances_url,
             on_change=self._set_instances,
         )
-        self.follower = Follower(
+        self.follower = ConfigurationSynchronizer(
             key_value=self.key_value,
             store=self.store,
             peers=self.peers,
--- a/packages/ragworthollow-daemon/src/ragworthollow_daemon/sidecar/order_agent.py
+++ b/packages/ragworthollow-daemon/src/ragworthollow_daemon/sidecar/order_agent.py
@@ -8,8 +8,13 @@
 
 from ragworthollow.conf import global_settings
 from ragworthollow.configuration import Pool
-from ragworthollow.engines import Action, EngineOrder, get_wanted, plan_order
-from ragworthollow.engines.load_budget import take_load
+from ragworthollow.engines import (
+    Action,
+    EngineOrder,
+    get_assigned_models,
+    plan_order,
+)
+from ragworthollow.engines.load_budget import try_consume_load
 from ragworthollow.engines.order import EngineModels
 from ragworthollow.logs.events import log_event
 from ragworthollow.once.member_key import MemberKey
@@ -68,7 +73,7 @@
             key=self._key,
             ttl_ms=self._ttl_ms,
         )
-        context.store.listen(self._record_configuration_change)
+        context.store.add_listener(self._record_configuration_change)
 
     async def run(self) -> None:
         """Keep the loaded models as configured until cancelled."""
@@ -108,7 +113,7 @@
 
     def _get_wanted(self) -> dict[str, str]:
         listed = self._context.peers.get_pool(self._pool)
-        return get_wanted(
+        return get_assigned_models(
             self._context.store.deployment,
             self._pool,
             self._name,
@@ -160,7 +165,7 @@
             # the model.
             waited_ms = now_ms - self._configuration_changed_ms
             return waited_ms >= global_settings.UNLOAD_DELAY_MS
-        acquired = await take_load(
+        acquired = await try_consume_load(
             self._context.key_value,
             self._get_pool().loads_per_minute,
             get_wall_ms(),
--- a/packages/ragworthollow-daemon/src/ragworthollow_daemon/sidecar/role.py
+++ b/packages/ragworthollow-daemon/src/ragworthollow_daemon/sidecar/role.py
@@ -69,7 +69,7 @@
             registry=self._registry,
             execute=lambda call: self._stage_executor.run(call, ignore_token),
         )
-        context.store.listen(self._configure)
+        context.store.add_listener(self._configure)
 
     def add_to(self, application: web.Application) -> None:
         """Register the routes of the role."""
@@ -120,7 +120,7 @@
     def _has_once_stages(self) -> bool:
         """Return whether this pool serves any non-repeatable stage."""
         deployment = self._context.store.deployment
-        return self._pool in deployment.get_once_pools()
+        return self._pool in deployment.get_non_repeatable_pools()
 
     def _configure(self) -> None:
         deployment = self._context.store.deployment
--- a/packages/ragworthollow-daemon/src/ragworthollow_daemon/sidecar/stage_gate.py
+++ b/packages/ragworthollow-daemon/src/ragworthollow_daemon/sidecar/stage_gate.py
@@ -161,7 +161,7 @@
         is_done = outcome is Outcome.done
         self._slots.release(ticket, busy_ms, is_done=is_done)
         self._context.metrics.latency.record(call.stage, busy_ms)
-        self._context.metrics.add_busy(call.stage, outcome, busy_ms)
+        self._context.metrics.add_busy_ms(call.stage, outcome, busy_ms)
         return busy_ms
 
     def _make_answer(
--- a/packages/ragworthollow-daemon/src/ragworthollow_daemon/web/configuration_routes.py
+++ b/packages/ragworthollow-daemon/src/ragworthollow_daemon/web/configuration_routes.py
@@ -42,7 +42,7 @@
     def __init__(self, *, context: ProcessContext) -> None:
         self._context = context
         self._changed = asyncio.Event()
-        context.store.listen(self._notify_waiters)
+        context.store.add_listener(self._notify_waiters)
 
     def add_to(self, application: web.Application) -> None:
         """Add the routes to an application."""
--- a/packages/ragworthollow/src/ragworthollow/configuration/change_request.py
+++ b/packages/ragworthollow/src/ragworthollow/configuration/change_request.py
@@ -36,7 +36,7 @@
         return tuple(sorted({*self.puts, *self.removals}))
 
 
-class ChangeAnswer(Message):
+class ChangeResponse(Message):
     """
     Report the outcome of a change request.
 
--- a/packages/ragworthollow/src/ragworthollow/configuration/change_rules.py
+++ b/packages/ragworthollow/src/ragworthollow/configuration/change_rules.py
@@ -4,8 +4,8 @@
 from ragworthollow.conf import global_settings
 from ragworthollow.configuration.change_record import ChangeRecord
 from ragworthollow.configuration.change_request import (
-    ChangeAnswer,
     ChangeRequest,
+    ChangeResponse,
 )
 from ragworthollow.configuration.file_entry import FileEntry
 from ragworthollow.configuration.manifest import Manifest
@@ -17,11 +17,11 @@
 def find_accepted_change(
     manifest: Manifest,
     request: ChangeRequest,
-) -> ChangeAnswer | None:
+) -> ChangeResponse | None:
     """Return the response to a change that was already accepted, if any."""
     for record in manifest.history:
         if record.change_id == request.change_id:
-            return ChangeAnswer(accepted=True, generation=record.generation)
+            return ChangeResponse(accepted=True, generation=record.generation)
     return None
 
 
@@ -29,13 +29,13 @@
     operator: str,
     request: ChangeRequest,
     manifest: Manifest,
-) -> ChangeAnswer | None:
+) -> ChangeResponse | None:
     """Refuse changes to files of other owners or of outdated versions."""
     entries = {entry.name: entry for entry in manifest.files}
     for name in request.get_names():
         entry = entries.get(name)
         if entry is not None and entry.owner != operator:
-            return ChangeAnswer(
+            return ChangeResponse(
                 accepted=False,
                 generation=manifest.generation,
                 reason=Reason.unauthorized,
@@ -44,7 +44,7 @@
         base_hash = request.base.get(name, '')
         current_hash = entry.sha256 if entry is not None else ''
         if base_hash != current_hash:
-            return ChangeAnswer(
+            return ChangeResponse(
                 accepted=False,
                 generation=manifest.generation,
                 reason=Reason.conflict,
@@ -68,19 +68,19 @@
     request: ChangeRequest,
     merged: MergeResult,
     manifest: Manifest,
-) -> ChangeAnswer | None:
+) -> ChangeResponse | None:
     """Refuse a change whose result has a wrong owner or is not valid."""
     for name in request.puts:
         owner = merged.owners.get(name, operator)
         if owner != operator:
-            return ChangeAnswer(
+            return ChangeResponse(
                 accepted=False,
                 generation=manifest.generation,
                 reason=Reason.unauthorized,
                 detail=f'{name} names {owner} as its owner, you are {operator}',
             )
     if has_errors(merged.problems):
-        return ChangeAnswer(
+        return ChangeResponse(
             accepted=False,
             generation=manifest.generation,
             reason=Reason.invalid_configuration,
--- a/packages/ragworthollow/src/ragworthollow/configuration/deployment.py
+++ b/packages/ragworthollow/src/ragworthollow/configuration/deployment.py
@@ -31,7 +31,7 @@
     pools: dict[str, Pool] = {}
     models: dict[str, EngineModel] = {}
 
-    def get_once_pools(self) -> set[str]:
+    def get_non_repeatable_pools(self) -> set[str]:
         """Return the pools that serve at least one non-repeatable stage."""
         return {
             stage.pool
--- a/packages/ragworthollow/src/ragworthollow/configuration/follower.py
+++ b/packages/ragworthollow/src/ragworthollow/configuration/follower.py
@@ -32,7 +32,7 @@
 )
 
 
-class Follower:
+class ConfigurationSynchronizer:
     """
     Fetch and apply new generations of the configuration.
 
--- a/packages/ragworthollow/src/ragworthollow/configuration/publisher.py
+++ b/packages/ragworthollow/src/ragworthollow/configuration/publisher.py
@@ -9,8 +9,8 @@
 from ragworthollow.conf import global_settings
 from ragworthollow.configuration.change_record import ChangeRecord
 from ragworthollow.configuration.change_request import (
-    ChangeAnswer,
     ChangeRequest,
+    ChangeResponse,
 )
 from ragworthollow.configuration.change_rules import (
     advance_manifest,
@@ -66,7 +66,7 @@
         self,
         operator: str,
         request: ChangeRequest,
-    ) -> ChangeAnswer:
+    ) -> ChangeResponse:
         """
         Apply one change, or return why it was not accepted.
 
@@ -85,17 +85,17 @@
 
         Returns
         -------
-        ChangeAnswer
+        ChangeResponse
             Outcome; `may_have_applied` is set when a write may have taken
             effect without confirmation.
         """
         may_have_applied = False
         for _ in range(global_settings.CHANGE_ATTEMPTS):
             attempt = await self._attempt_change(operator, request)
-            if isinstance(attempt, ChangeAnswer):
+            if isinstance(attempt, ChangeResponse):
                 return attempt
             may_have_applied |= attempt.may_have_applied
-        return ChangeAnswer(
+        return ChangeResponse(
             accepted=False,
             reason=Reason.platform_unavailable,
             detail='the platform gave no usable answer; ask again with the'
@@ -107,7 +107,7 @@
         self,
         operator: str,
         request: ChangeRequest,
-    ) -> ChangeAnswer | PlatformError:
+    ) -> ChangeResponse | PlatformError:
         stored_manifest = await self._key_value.read(MANIFEST_KEY)
         if isinstance(stored_manifest, Err):
             return dataclasses.replace(
@@ -122,7 +122,7 @@
         if isinstance(prepared, Err):
             return prepared.err_value
         if request.dry_run:
-            return ChangeAnswer(
+            return ChangeResponse(
                 accepted=False,
                 generation=manifest.generation,
                 problems=prepared.ok_value.problems,
@@ -138,7 +138,7 @@
         prepared: '_Prepared',
         request: ChangeRequest,
         stored_manifest: Stored,
-    ) -> ChangeAnswer | PlatformError:
+    ) -> ChangeResponse | PlatformError:
         written = await self._write(prepared, request, stored_manifest)
         if isinstance(written, Err):
             return written.err_value
@@ -156,14 +156,14 @@
         operator: str,
         request: ChangeRequest,
         manifest: Manifest,
-    ) -> Result['_Prepared', ChangeAnswer]:
+    ) -> Result['_Prepared', ChangeResponse]:
         refusal = check_preconditions(operator, request, manifest)
         if refusal is not None:
             return Err(refusal)
         snapshot = await read_files(self._key_value, self._store, manifest)
         if isinstance(snapshot, Err):
             return Err(
-                ChangeAnswer(
+                ChangeResponse(
                     accepted=False,
                     reason=Reason.platform_unavailable,
                     detail=snapshot.err_value.detail,
@@ -217,7 +217,7 @@
             puts=puts,
         )
 
-    def _accept(self, prepared: '_Prepared') -> ChangeAnswer:
+    def _accept(self, prepared: '_Prepared') -> ChangeResponse:
         needed_hashes = {entry.sha256 for entry in prepared.manifest.files}
         self._store.apply(
             Snapshot(
@@ -229,7 +229,7 @@
                 },
             ),
         )
-        return ChangeAnswer(
+        return ChangeResponse(
             accepted=True,
             generation=prepared.manifest.generation,
             problems=prepared.problems,
--- a/packages/ragworthollow/src/ragworthollow/configuration/store.py
+++ b/packages/ragworthollow/src/ragworthollow/configuration/store.py
@@ -44,7 +44,7 @@
         """Return the active generation; 0 before the first."""
         return self.manifest.generation
 
-    def listen(self, listener: Listener) -> None:
+    def add_listener(self, listener: Listener) -> None:
         """Register a function to call after each change."""
         self._listeners.append(listener)
 
--- a/packages/ragworthollow/src/ragworthollow/engines/load_budget.py
+++ b/packages/ragworthollow/src/ragworthollow/engines/load_budget.py
@@ -56,7 +56,7 @@
     return msgspec.structs.replace(window, used=window.used + 1)
 
 
-async def take_load(
+async def try_consume_load(
     key_value: StoreClient,
     limit: int,
     now_ms: float,
--- a/packages/ragworthollow/src/ragworthollow/engines/placement.py
+++ b/packages/ragworthollow/src/ragworthollow/engines/placement.py
@@ -6,7 +6,7 @@
 from ragworthollow.utils.hashing import get_rank
 
 
-def get_carriers(
+def get_model_engines(
     deployment: Deployment,
     model: str,
     instances: Iterable[str],
@@ -44,7 +44,7 @@
     return ranked[: declared.replicas]
 
 
-def get_wanted(
+def get_assigned_models(
     deployment: Deployment,
     pool: str,
     instance: str,
@@ -76,5 +76,5 @@
     return {
         model: deployment.models[model].version
         for model in declared.models
-        if instance in get_carriers(deployment, model, pool_instances)
+        if instance in get_model_engines(deployment, model, pool_instances)
     }
--- a/packages/ragworthollow/src/ragworthollow/metrics/registry.py
+++ b/packages/ragworthollow/src/ragworthollow/metrics/registry.py
@@ -97,7 +97,7 @@
         """Count one internal event."""
         self._events.labels(event).inc()
 
-    def add_busy(self, step: str, outcome: Outcome, busy_ms: float) -> None:
+    def add_busy_ms(self, step: str, outcome: Outcome, busy_ms: float) -> None:
         """Add upstream busy time in milliseconds."""
         self._busy_ms.labels(step, outcome).inc(busy_ms)
 
--- a/packages/ragworthollow/src/ragworthollow/utils/clock.py
+++ b/packages/ragworthollow/src/ragworthollow/utils/clock.py
@@ -58,7 +58,7 @@
 
 
 @contextmanager
-def use_monotonic(
+def override_clocks(
     read_ms: Callable[[], float],
     read_boottime_ms: Callable[[], float] | None = None,
 ) -> Iterator[None]:
--- a/packages/ragworthollow/src/ragworthollow/utils/identifiers.py
+++ b/packages/ragworthollow/src/ragworthollow/utils/identifiers.py
@@ -20,7 +20,7 @@
     return str(uuid6.uuid7())
 
 
-def get_birth_ms(identifier: str) -> int | None:
+def get_creation_ms(identifier: str) -> int | None:
     """
     Extract the creation time from a UUID of version 7.
 
--- a/tests/features/steps/grace_time.py
+++ b/tests/features/steps/grace_time.py
@@ -6,7 +6,7 @@
 from behave import then, when
 
 from measure.fleet_model.virtual_time import run_virtually
-from ragworthollow.utils import get_boottime_ms, use_monotonic
+from ragworthollow.utils import get_boottime_ms, override_clocks
 from ragworthollow_daemon.gateway.role import GatewayRole
 from tests.fixtures.gateways import make_settings
 
@@ -22,7 +22,7 @@
         return loop.get_ms() + (suspended_ms if has_slept else 0)
 
     found = SimpleNamespace(given_up=None)
-    with use_monotonic(loop.get_ms, read_boottime_ms):
+    with override_clocks(loop.get_ms, read_boottime_ms):
         role = GatewayRole(settings=make_settings(grace_s=_GRACE_S))
         serving = asyncio.ensure_future(_serve(role))
         await asyncio.sleep(0)
--- a/tests/features/steps/lapsed_entries.py
+++ b/tests/features/steps/lapsed_entries.py
@@ -11,7 +11,7 @@
 from measure.replica_fleet.store_session import StoreSession
 from ragworthollow.conf import global_settings
 from ragworthollow.upstreams import Directory, UpstreamInstance
-from ragworthollow.utils import use_monotonic
+from ragworthollow.utils import override_clocks
 from tests.fixtures.store_followers import make_follower
 
 _KEYS = ('servers/a', 'servers/b')
@@ -58,7 +58,7 @@
     lister = _Lister()
     follower = make_follower(session, lister, bound_ms=context.bound_ms)
     session.lost_ms = away
-    with use_monotonic(loop.get_ms):
+    with override_clocks(loop.get_ms):
         following = asyncio.ensure_future(follower.run())
         await befall(session)
         await asyncio.sleep(_END_MS / 1000)
--- a/tests/features/steps/late_service.py
+++ b/tests/features/steps/late_service.py
@@ -12,7 +12,7 @@
 from ragworthollow.conf import global_settings
 from ragworthollow.metrics import Metrics
 from ragworthollow.outcomes import Reason
-from ragworthollow.utils import use_monotonic
+from ragworthollow.utils import override_clocks
 from ragworthollow_daemon.gateway.admission import Admission
 from ragworthollow_daemon.gateway.context import GatewayContext
 from ragworthollow_daemon.gateway.deferral_queue import DeferralQueue
@@ -47,7 +47,7 @@
         return self.loop.time() * 1000
 
     def run(self, coroutine):
-        with use_monotonic(self.get_ms):
+        with override_clocks(self.get_ms):
             return self.loop.run_until_complete(coroutine)
 
     async def defer(self, name: str, latest_ms: float, priority: int) -> None:
--- a/tests/features/steps/lost_calls.py
+++ b/tests/features/steps/lost_calls.py
@@ -13,7 +13,7 @@
 from ragworthollow.outcomes import Outcome, Reason
 from ragworthollow.pieces import PieceCall, StoredResult
 from ragworthollow.transport.host_messages import HostState
-from ragworthollow.utils import use_monotonic
+from ragworthollow.utils import override_clocks
 from ragworthollow_daemon.gateway.call_monitor import CallMonitor
 from ragworthollow_daemon.gateway.call_result_handler import CallResultHandler
 from ragworthollow_daemon.gateway.context import GatewayContext
@@ -60,7 +60,7 @@
         context.is_answered = sending.done()
         sending.cancel()
 
-    with use_monotonic(context.loop.get_ms):
+    with override_clocks(context.loop.get_ms):
         context.loop.run_until_complete(follow())
     context.ended_ms = context.loop.get_ms()
 
@@ -120,7 +120,7 @@
         step='pieces',
         peer='i0',
     )
-    with use_monotonic(VirtualLoop().get_ms):
+    with override_clocks(VirtualLoop().get_ms):
         _make_outcomes(context.pool).record_failure(
             'p',
             context.pool.gate,
--- a/tests/features/steps/slow_calls.py
+++ b/tests/features/steps/slow_calls.py
@@ -6,7 +6,7 @@
 
 from ragworthollow.metrics import Metrics
 from ragworthollow.pieces import PieceOutcome, PieceResult
-from ragworthollow.utils import use_monotonic
+from ragworthollow.utils import override_clocks
 from ragworthollow_daemon.gateway.call_result_handler import CallResultHandler
 from tests.fixtures.piece_pool import FAR_MS, PiecePool, make_waiting
 
@@ -45,7 +45,7 @@
 def play(context, span_s):
     """Play calls, their slowness and their ends in steps of time."""
     running = []
-    with use_monotonic(lambda: context.now_ms):
+    with override_clocks(lambda: context.now_ms):
         while context.now_ms < span_s * 1000:
             running = [one for one in running if _advance(context, one)]
             if context.pool.gate.get_depth() < 4:
--- a/tests/features/steps/store_bounds.py
+++ b/tests/features/steps/store_bounds.py
@@ -11,7 +11,7 @@
 from measure.fleet_model.virtual_time import run_virtually
 from measure.replica_fleet.store_session import StoreSession
 from ragworthollow.conf import global_settings
-from ragworthollow.utils import use_monotonic
+from ragworthollow.utils import override_clocks
 from tests.fixtures.store_followers import make_follower
 from tests.standins.thin_link import BYTES_PER_MBIT
 
@@ -109,7 +109,7 @@
     watcher = _Watcher()
     session.put(_CONFIGURATION, case.size_bytes)
     follower = make_follower(session, watcher)
-    with use_monotonic(loop.get_ms):
+    with override_clocks(loop.get_ms):
         polling = asyncio.ensure_future(follower.run())
         await asyncio.sleep(changed_ms / 1000)
         session.is_mute = case.is_mute
--- a/tests/features/steps/store_restored.py
+++ b/tests/features/steps/store_restored.py
@@ -17,7 +17,7 @@
 from ragworthollow.platform.stored import Stored
 from ragworthollow.platform.transaction import Put, compare_with
 from ragworthollow.replica import Replica
-from ragworthollow.utils import use_monotonic
+from ragworthollow.utils import override_clocks
 from tests.fixtures.news_model import NewsModel
 from tests.fixtures.news_variants import VARIANTS
 from tests.fixtures.store_followers import make_follower
@@ -335,7 +335,7 @@
         """Go on."""
 
     async def play(self, moves) -> None:
-        with use_monotonic(asyncio.get_running_loop().get_ms):
+        with override_clocks(asyncio.get_running_loop().get_ms):
             await self._follower.poll()
             for move, key in moves:
                 if move == 'poll':
--- a/tests/features/steps/store_view.py
+++ b/tests/features/steps/store_view.py
@@ -11,7 +11,7 @@
 from measure.fleet_model.virtual_time import run_virtually
 from measure.replica_fleet.store_session import StoreSession
 from ragworthollow.platform import StoreClient
-from ragworthollow.utils import use_monotonic
+from ragworthollow.utils import override_clocks
 from tests.fixtures.store_followers import make_follower
 
 _KEYS = st.sampled_from(('op/config', 'servers/a', 'servers/b'))
@@ -68,7 +68,7 @@
         """Go on."""
 
     async def play(self, moves) -> None:
-        with use_monotonic(asyncio.get_running_loop().get_ms):
+        with override_clocks(asyncio.get_running_loop().get_ms):
             await self._follower.poll()
             for move, key in moves:
                 await self._make(move, key)
--- a/tests/features/steps/thin_links.py
+++ b/tests/features/steps/thin_links.py
@@ -6,7 +6,7 @@
 from aiohttp import ClientSession, web
 from behave import given, step, then, when
 
-from ragworthollow.configuration.follower import Follower
+from ragworthollow.configuration.follower import ConfigurationSynchronizer
 from ragworthollow.configuration.snapshot import Snapshot
 from ragworthollow.configuration.store import ConfigurationStore
 from ragworthollow.membership import PeerDirectory
@@ -143,7 +143,7 @@
 
 
 async def _pull(session: ClientSession, address: str) -> bool:
-    follower = Follower(
+    follower = ConfigurationSynchronizer(
         key_value=StoreClient(session=session, base_url=f'http://{address}'),
         store=ConfigurationStore(instance='asker'),
         peers=PeerDirectory(
