--- a/packages/ragworthollow-daemon/src/ragworthollow_daemon/entry/stage_caller.py
+++ b/packages/ragworthollow-daemon/src/ragworthollow_daemon/entry/stage_caller.py
@@ -12,7 +12,7 @@
 from ragworthollow.outcomes import Outcome, Reason
 from ragworthollow.routing import PeerState
 from ragworthollow.transport import StageAnswer, StageCall, StreamLine
-from ragworthollow.transport.marked_body import MarkedBody
+from ragworthollow.transport.marked_body import TrackedBody
 from ragworthollow.transport.stage_answer import refuse
 from ragworthollow.utils import get_monotonic_ms
 from ragworthollow_daemon.process_context import ProcessContext
@@ -70,7 +70,7 @@
             Answer of the sidecar. Faults of the sidecar or the network
             become refusals and are not raised.
         """
-        body = MarkedBody(msgspec.json.encode(call))
+        body = TrackedBody(msgspec.json.encode(call))
         started_ms = get_monotonic_ms()
         peer.in_flight += 1
         try:
@@ -95,7 +95,7 @@
         call: StageCall,
         emit: Emit,
         timeout_ms: float,
-        body: MarkedBody,
+        body: TrackedBody,
     ) -> StageAnswer:
         is_stream = call.kind is StageKind.generate
         limit = timeout_ms / _MILLISECONDS
@@ -178,7 +178,7 @@
         peer: PeerState,
         call: StageCall,
         error: Exception,
-        body: MarkedBody,
+        body: TrackedBody,
     ) -> StageAnswer:
         detail = type(error).__name__
         if not body.started:
@@ -238,7 +238,7 @@
 @asynccontextmanager
 async def _limit_continue_wait(
     call: StageCall,
-    body: MarkedBody,
+    body: TrackedBody,
 ) -> AsyncIterator[None]:
     """
     Time out an unresponsive sidecar while the call has provably not run.
--- a/packages/ragworthollow-daemon/src/ragworthollow_daemon/gateway/context.py
+++ b/packages/ragworthollow-daemon/src/ragworthollow_daemon/gateway/context.py
@@ -15,7 +15,7 @@
 from ragworthollow.routes import RequestLimits, RouteTable
 from ragworthollow.throttling import Throttle
 from ragworthollow.transport.checked_connector import make_upstream_session
-from ragworthollow.transport.session import make_plain_session
+from ragworthollow.transport.session import make_unauthenticated_session
 from ragworthollow.upstreams import (
     Directory,
     FirstEventLatency,
@@ -60,7 +60,7 @@
         self.drain = DrainState()
         self.stop = ShutdownState()
         self.rng = random.Random(self.incarnation)  # noqa: S311
-        self.session = make_plain_session()
+        self.session = make_unauthenticated_session()
         self.upstream_session = make_upstream_session()
         self.store = StoreClient(
             session=self.session,
--- a/packages/ragworthollow-daemon/src/ragworthollow_daemon/gateway/peer_routes.py
+++ b/packages/ragworthollow-daemon/src/ragworthollow_daemon/gateway/peer_routes.py
@@ -17,9 +17,9 @@
     MemberChange,
 )
 from ragworthollow.transport.piece_messages import (
-    GateTransfer,
-    PiecesOrder,
+    PiecesRequest,
     ResultsRelease,
+    SchedulerTransfer,
     decode_pieces,
     encode_results,
 )
@@ -173,7 +173,7 @@
         """Run pieces; they are cancelled if the requester disconnects."""
         body = await request.read()
         try:
-            order = msgspec.json.decode(body, type=PiecesOrder)
+            order = msgspec.json.decode(body, type=PiecesRequest)
         except msgspec.DecodeError as error:
             return respond(Problem(error=str(error)), status=_BAD_REQUEST)
         now_ms = get_monotonic_ms()
@@ -217,7 +217,7 @@
         """Take over a scheduler's state from its previous host."""
         body = await request.read()
         try:
-            transfer = msgspec.json.decode(body, type=GateTransfer)
+            transfer = msgspec.json.decode(body, type=SchedulerTransfer)
         except msgspec.DecodeError as error:
             return respond(Problem(error=str(error)), status=_BAD_REQUEST)
         self._handover.apply_transfer(transfer)
--- a/packages/ragworthollow-daemon/src/ragworthollow_daemon/gateway/result_use_reporter.py
+++ b/packages/ragworthollow-daemon/src/ragworthollow_daemon/gateway/result_use_reporter.py
@@ -8,7 +8,7 @@
 from ragworthollow.membership.gateway_members import GatewayMembers
 from ragworthollow.pieces import Piece, PieceResult, StoredResult
 from ragworthollow.platform.stage_wire import get_producer_address
-from ragworthollow.transport.piece_messages import GateTransfer
+from ragworthollow.transport.piece_messages import SchedulerTransfer
 from ragworthollow.utils import get_monotonic_ms
 from ragworthollow_daemon.gateway.context import GatewayContext
 from ragworthollow_daemon.gateway.peer_notifications import notify_peer
@@ -93,7 +93,7 @@
         pool: str,
         results: tuple[StoredResult, ...],
     ) -> None:
-        transfer = GateTransfer(
+        transfer = SchedulerTransfer(
             pool=pool,
             source=self._context.settings.instance,
             kept=make_result_messages(results, get_monotonic_ms()),
--- a/packages/ragworthollow-daemon/src/ragworthollow_daemon/gateway/scheduler_handover.py
+++ b/packages/ragworthollow-daemon/src/ragworthollow_daemon/gateway/scheduler_handover.py
@@ -10,9 +10,9 @@
 from ragworthollow.membership.gateway_members import GatewayMembers
 from ragworthollow.pieces import PieceScheduler, RemoteCall, StoredResult
 from ragworthollow.transport.piece_messages import (
-    ForeignCallMessage,
-    GateTransfer,
-    KeptResultMessage,
+    RemoteCallMessage,
+    SchedulerTransfer,
+    StoredResultMessage,
 )
 from ragworthollow.utils import get_monotonic_ms
 from ragworthollow_daemon.gateway.context import GatewayContext
@@ -66,7 +66,7 @@
             else:
                 self._hand_over(pool, self._schedulers.get(pool), host)
 
-    def apply_transfer(self, transfer: GateTransfer) -> None:
+    def apply_transfer(self, transfer: SchedulerTransfer) -> None:
         """Record the calls and results of another gateway for a pool."""
         now_ms = get_monotonic_ms()
         scheduler = self._schedulers.get(transfer.pool)
@@ -99,7 +99,7 @@
         now_ms = get_monotonic_ms()
         results = make_result_messages(scheduler.result_space.pop_all(), now_ms)
         if calls or results or pool in self._notified:
-            transfer = GateTransfer(
+            transfer = SchedulerTransfer(
                 pool=pool,
                 source=self._context.settings.instance,
                 calls=calls,
@@ -129,7 +129,9 @@
             calls=len(scheduler.running.own),
         )
 
-    async def _send(self, host: GatewayMember, transfer: GateTransfer) -> None:
+    async def _send(
+        self, host: GatewayMember, transfer: SchedulerTransfer
+    ) -> None:
         # Without it, the host overestimates the free capacity of instances.
         body = msgspec.json.encode(transfer)
         await notify_peer(self._context, host, TRANSFER_PATH, body)
@@ -137,9 +139,9 @@
 
 def _make_call_messages(
     scheduler: PieceScheduler,
-) -> tuple[ForeignCallMessage, ...]:
+) -> tuple[RemoteCallMessage, ...]:
     return tuple(
-        ForeignCallMessage(
+        RemoteCallMessage(
             instance=call.instance.instance,
             result_bytes=sum(
                 waiting.piece.result_bytes for waiting in call.pieces
@@ -152,7 +154,7 @@
 def make_result_messages(
     results: Iterable[StoredResult],
     now_ms: float,
-) -> tuple[KeptResultMessage, ...]:
+) -> tuple[StoredResultMessage, ...]:
     """
     Encode results that still occupy space, for another gateway.
 
@@ -164,7 +166,7 @@
         Time on the monotonic clock, in milliseconds.
     """
     return tuple(
-        KeptResultMessage(
+        StoredResultMessage(
             handle=result.handle,
             instance=result.instance,
             result_bytes=result.result_bytes,
@@ -177,7 +179,7 @@
 
 
 def _make_remote_calls(
-    calls: Iterable[ForeignCallMessage],
+    calls: Iterable[RemoteCallMessage],
     now_ms: float,
 ) -> list[RemoteCall]:
     return [
--- a/packages/ragworthollow-daemon/src/ragworthollow_daemon/process_context.py
+++ b/packages/ragworthollow-daemon/src/ragworthollow_daemon/process_context.py
@@ -12,7 +12,10 @@
 from ragworthollow.membership import PeerDirectory
 from ragworthollow.metrics import InvariantMonitor, Metrics
 from ragworthollow.platform import InstanceList, InstancePoller, StoreClient
-from ragworthollow.transport.session import make_plain_session, make_session
+from ragworthollow.transport.session import (
+    make_session,
+    make_unauthenticated_session,
+)
 from ragworthollow.utils import make_identifier
 from ragworthollow_daemon.drain import DrainState
 
@@ -37,7 +40,7 @@
         self.drain = DrainState()
         self.rng = random.Random(self.incarnation)  # noqa: S311
         self.session = make_session(settings.cluster_key)
-        self.plain_session = make_plain_session()
+        self.plain_session = make_unauthenticated_session()
         self.store = ConfigurationStore(instance=settings.instance)
         self.peers = PeerDirectory(
             instance=settings.instance,
--- a/packages/ragworthollow-daemon/src/ragworthollow_daemon/sidecar/upstream_client.py
+++ b/packages/ragworthollow-daemon/src/ragworthollow_daemon/sidecar/upstream_client.py
@@ -9,7 +9,7 @@
 from ragworthollow.configuration.stage import StageKind
 from ragworthollow.outcomes import Outcome, Reason
 from ragworthollow.transport import StageCall, StreamLine
-from ragworthollow.transport.marked_body import MarkedBody
+from ragworthollow.transport.marked_body import TrackedBody
 from ragworthollow_daemon.process_context import get_timeout
 from ragworthollow_daemon.sidecar.upstream_messages import (
     CompletionChunk,
@@ -73,7 +73,7 @@
             closes the connection, which cancels the work on the upstream.
         """
         path, message = _build_request(call)
-        body = MarkedBody(msgspec.json.encode(message))
+        body = TrackedBody(msgspec.json.encode(message))
         try:
             return await self._send_request(
                 call, emit, remaining_ms, path, body
@@ -93,7 +93,7 @@
         emit: Emit,
         remaining_ms: float,
         path: str,
-        body: MarkedBody,
+        body: TrackedBody,
     ) -> UpstreamResult:
         async with self._session.post(
             f'{self._base_url}{path}',
@@ -181,7 +181,7 @@
     )
 
 
-def _classify_error(error: Exception, body: MarkedBody) -> UpstreamResult:
+def _classify_error(error: Exception, body: TrackedBody) -> UpstreamResult:
     if not body.started:
         return UpstreamResult(
             outcome=Outcome.not_run,
--- a/packages/ragworthollow/src/ragworthollow/configuration/follower.py
+++ b/packages/ragworthollow/src/ragworthollow/configuration/follower.py
@@ -20,7 +20,7 @@
 from ragworthollow.membership.peer_directory import PeerDirectory
 from ragworthollow.platform import StoreClient
 from ragworthollow.platform.store_position import StorePosition
-from ragworthollow.transport.timeouts import make_silence_timeout
+from ragworthollow.transport.timeouts import make_inactivity_timeout
 
 _MILLISECONDS_PER_SECOND = 1000
 _NO_CONTENT = 204
@@ -141,7 +141,7 @@
         async with self._session.get(
             f'http://{address}/v1/configuration',
             params={'have': self._store.generation, 'wait_ms': wait_ms},
-            timeout=make_silence_timeout(
+            timeout=make_inactivity_timeout(
                 global_settings.CONFIGURATION_PEER_TIMEOUT_MS,
                 wait_ms,
             ),
--- a/packages/ragworthollow/src/ragworthollow/platform/instance_poller.py
+++ b/packages/ragworthollow/src/ragworthollow/platform/instance_poller.py
@@ -9,7 +9,7 @@
 from ragworthollow.conf import global_settings
 from ragworthollow.logs.events import log_event
 from ragworthollow.platform.instance_list import InstanceList
-from ragworthollow.transport.timeouts import make_silence_timeout
+from ragworthollow.transport.timeouts import make_inactivity_timeout
 
 _MILLISECONDS = 1000
 _NOT_MODIFIED = 304
@@ -86,7 +86,9 @@
         async with self._session.get(
             self._url,
             headers={'If-None-Match': self._entity_tag},
-            timeout=make_silence_timeout(global_settings.PLATFORM_TIMEOUT_MS),
+            timeout=make_inactivity_timeout(
+                global_settings.PLATFORM_TIMEOUT_MS
+            ),
             raise_for_status=True,
         ) as response:
             if response.status == _NOT_MODIFIED:
--- a/packages/ragworthollow/src/ragworthollow/platform/store_transport.py
+++ b/packages/ragworthollow/src/ragworthollow/platform/store_transport.py
@@ -9,7 +9,7 @@
 from ragworthollow.logs.events import log_event
 from ragworthollow.platform.exceptions import PlatformError
 from ragworthollow.platform.store_answer import StoreResponse
-from ragworthollow.transport.timeouts import make_silence_timeout
+from ragworthollow.transport.timeouts import make_inactivity_timeout
 from ragworthollow.utils import get_monotonic_ms
 
 UNLIMITED_BYTES = float('inf')
@@ -101,7 +101,7 @@
                 (self._base / path.removeprefix('/')).with_query(query),
                 data=body,
                 headers=_HEADERS if body else None,
-                timeout=make_silence_timeout(self._timeout_ms, extra_ms),
+                timeout=make_inactivity_timeout(self._timeout_ms, extra_ms),
             ) as response:
                 timeline = self._record_timeline(response)
                 is_complete = await received_body.read(response, max_bytes)
--- a/packages/ragworthollow/src/ragworthollow/transport/marked_body.py
+++ b/packages/ragworthollow/src/ragworthollow/transport/marked_body.py
@@ -4,7 +4,7 @@
 from aiohttp.payload import BytesPayload
 
 
-class MarkedBody(BytesPayload):
+class TrackedBody(BytesPayload):
     """
     Send a request body and record that sending has begun.
 
--- a/packages/ragworthollow/src/ragworthollow/transport/piece_messages.py
+++ b/packages/ragworthollow/src/ragworthollow/transport/piece_messages.py
@@ -55,7 +55,7 @@
     wait_ms: float | None = 0
 
 
-class PiecesOrder(Message):
+class PiecesRequest(Message):
     """
     Request pieces of one stage of one request from a pool's scheduler.
 
@@ -101,7 +101,7 @@
     is_forwarded: bool = False
 
 
-class KeptResultMessage(Message):
+class StoredResultMessage(Message):
     """Describe a result that takes space; wire form of `StoredResult`."""
 
     handle: str
@@ -111,14 +111,14 @@
     asker: str = ''
 
 
-class ForeignCallMessage(Message):
+class RemoteCallMessage(Message):
     """Describe a call in progress; the wire form of `RemoteCall`."""
 
     instance: str
     result_bytes: int
 
 
-class GateTransfer(Message):
+class SchedulerTransfer(Message):
     """
     Send the host of a scheduler the work in progress of another one.
 
@@ -128,17 +128,17 @@
         Pool of both schedulers.
     source : str
         Sender of the transfer.
-    calls : tuple of ForeignCallMessage or None
+    calls : tuple of RemoteCallMessage or None
         All calls that instances still process; None when the message does
         not cover calls.
-    kept : tuple of KeptResultMessage
+    kept : tuple of StoredResultMessage
         Results that take space.
     """
 
     pool: str
     source: str
-    calls: tuple[ForeignCallMessage, ...] | None = None
-    kept: tuple[KeptResultMessage, ...] = ()
+    calls: tuple[RemoteCallMessage, ...] | None = None
+    kept: tuple[StoredResultMessage, ...] = ()
 
 
 def encode_pieces(
@@ -148,7 +148,7 @@
 ) -> bytes:
     """Encode pieces for a host with a different monotonic clock."""
     return msgspec.json.encode(
-        PiecesOrder(
+        PiecesRequest(
             pool=pool,
             asker=pieces[0].requester,
             orders=tuple(
@@ -175,7 +175,7 @@
     )
 
 
-def decode_pieces(message: PiecesOrder, now_ms: float) -> tuple[Piece, ...]:
+def decode_pieces(message: PiecesRequest, now_ms: float) -> tuple[Piece, ...]:
     """Decode pieces, with times on this process's monotonic clock."""
     return tuple(
         Piece(
--- a/packages/ragworthollow/src/ragworthollow/transport/session.py
+++ b/packages/ragworthollow/src/ragworthollow/transport/session.py
@@ -35,7 +35,7 @@
     )
 
 
-def make_plain_session() -> aiohttp.ClientSession:
+def make_unauthenticated_session() -> aiohttp.ClientSession:
     """
     Create a session for the platform and upstreams, without the key.
 
--- a/packages/ragworthollow/src/ragworthollow/transport/timeouts.py
+++ b/packages/ragworthollow/src/ragworthollow/transport/timeouts.py
@@ -7,8 +7,8 @@
 _MILLISECONDS = 1000
 
 
-def make_silence_timeout(
-    silence_ms: float,
+def make_inactivity_timeout(
+    inactivity_ms: float,
     wait_ms: float = 0,
 ) -> aiohttp.ClientTimeout:
     """
@@ -22,7 +22,7 @@
 
     Parameters
     ----------
-    silence_ms : float
+    inactivity_ms : float
         Milliseconds without any received byte after which the peer or the
         connection counts as lost.
     wait_ms : float
@@ -36,8 +36,8 @@
     """
     return aiohttp.ClientTimeout(
         total=(global_settings.EXCHANGE_LIMIT_MS + wait_ms) / _MILLISECONDS,
-        sock_connect=silence_ms / _MILLISECONDS,
-        sock_read=(silence_ms + wait_ms) / _MILLISECONDS,
+        sock_connect=inactivity_ms / _MILLISECONDS,
+        sock_read=(inactivity_ms + wait_ms) / _MILLISECONDS,
     )
 
 
