--- a/packages/ragworthollow-daemon/src/ragworthollow_daemon/sidecar/member_relations.py
+++ b/packages/ragworthollow-daemon/src/ragworthollow_daemon/sidecar/member_relations.py
@@ -7,9 +7,9 @@
 from ragworthollow.once import Member, Ownership
 from ragworthollow.once.peer_messages import MemberReply
 from ragworthollow.once.promises import (
-    make_question,
-    show_record,
-    take_reply,
+    apply_reply,
+    make_promise_request,
+    make_request_with_assignment,
 )
 from ragworthollow.utils import get_monotonic_ms
 from ragworthollow_daemon.process_context import ProcessContext
@@ -56,15 +56,15 @@
             *(self._request_promise(member) for member in self._get_others()),
         )
         for reply in replies:
-            if reply and take_reply(self._ownership, reply, now_ms):
+            if reply and apply_reply(self._ownership, reply, now_ms):
                 self._context.metrics.count_event('promise_received')
 
     async def _request_promise(self, member: Member) -> MemberReply | None:
-        request = make_question(self._ownership)
+        request = make_promise_request(self._ownership)
         reply = await self._client.request_promise(member, request)
         if reply is None:
             return None
-        retry = show_record(self._ownership, request, reply)
+        retry = make_request_with_assignment(self._ownership, request, reply)
         if retry is None:
             return reply
         return await self._client.request_promise(member, retry)
@@ -88,7 +88,7 @@
         answered as unknown.
         """
         request = msgspec.structs.replace(
-            make_question(self._ownership),
+            make_promise_request(self._ownership),
             assignment=self._ownership.assignment,
         )
         await asyncio.gather(
@@ -99,10 +99,10 @@
         )
 
     async def _introduce_to(self, member: Member) -> None:
-        request = make_question(self._ownership)
+        request = make_promise_request(self._ownership)
         reply = await self._client.introduce(member, request)
         if reply is not None and reply.epoch >= request.epoch:
-            self._ownership.note_known_by(member.instance)
+            self._ownership.record_known_by(member.instance)
 
     def _get_others(self) -> list[Member]:
         return [
--- a/packages/ragworthollow-daemon/src/ragworthollow_daemon/sidecar/once_agent.py
+++ b/packages/ragworthollow-daemon/src/ragworthollow_daemon/sidecar/once_agent.py
@@ -9,7 +9,7 @@
 from ragworthollow.logs.events import log_event
 from ragworthollow.once import KeyRegistry, Ownership
 from ragworthollow.once.peer_messages import RecordTransfer
-from ragworthollow.once.plan import Plan, Step, View
+from ragworthollow.once.plan import Plan, PlatformView, Step
 from ragworthollow.once.planner import plan_step
 from ragworthollow.platform.transaction import Compare, Put
 from ragworthollow.utils import get_monotonic_ms, get_wall_ms
@@ -165,7 +165,7 @@
         if plan.absent:
             key = self._reader.get_member_key(plan.absent)
             compares.append(Compare(key=key))
-            self._ownership.taking = plan.absent
+            self._ownership.takeover_target = plan.absent
         text = msgspec.json.encode(plan.assignment).decode()
         written = await self._context.key_value.commit(
             compares=compares,
@@ -175,10 +175,10 @@
             self._uncertain_write = self._reader.compare_assignment()
         elif written.ok_value:
             self._report(plan)
-            self._ownership.learn(plan.assignment)
+            self._ownership.apply_assignment(plan.assignment)
             await self._coordinator.announce()
         elif not self._has_uncertain_write():
-            self._ownership.taking = ''
+            self._ownership.takeover_target = ''
             self._ownership.moving = frozenset()
         await self._reader.read()
 
@@ -220,8 +220,8 @@
             await _sleep(global_settings.LEAVING_INTERVAL_MS)
         return True
 
-    def _get_view(self, members: Members) -> View:
-        return View(
+    def _get_view(self, members: Members) -> PlatformView:
+        return PlatformView(
             alive=members,
             now_ms=get_monotonic_ms(),
             wall_ms=get_wall_ms(),
--- a/packages/ragworthollow-daemon/src/ragworthollow_daemon/sidecar/once_gate.py
+++ b/packages/ragworthollow-daemon/src/ragworthollow_daemon/sidecar/once_gate.py
@@ -13,7 +13,7 @@
     Ownership,
     RecordState,
 )
-from ragworthollow.once.ownership import Standing
+from ragworthollow.once.ownership import OwnershipStatus
 from ragworthollow.outcomes import Outcome, Reason
 from ragworthollow.transport import OnceKey, StageAnswer, StageCall
 from ragworthollow.transport.stage_answer import refuse
@@ -25,17 +25,17 @@
 _MILLISECONDS = 1000
 _OWNERSHIP_RETRY_MS = 1000
 _REFUSAL_REASONS = {
-    Standing.not_owner: Reason.not_owner,
-    Standing.unsure: Reason.ownership_unsure,
-    Standing.born_before: Reason.born_before_ownership,
+    OwnershipStatus.not_owner: Reason.not_owner,
+    OwnershipStatus.unsure: Reason.ownership_unsure,
+    OwnershipStatus.born_before: Reason.born_before_ownership,
 }
 
 
 _LOOKUP_STATES = {
-    Standing.owner: LookupState.absent,
-    Standing.not_owner: LookupState.not_owner,
-    Standing.unsure: LookupState.uncertain,
-    Standing.born_before: LookupState.born_before,
+    OwnershipStatus.owner: LookupState.absent,
+    OwnershipStatus.not_owner: LookupState.not_owner,
+    OwnershipStatus.unsure: LookupState.uncertain,
+    OwnershipStatus.born_before: LookupState.born_before,
 }
 
 
@@ -132,8 +132,8 @@
         status = self._get_ownership_status(once)
         return LookupAnswer(state=_LOOKUP_STATES[status])
 
-    def _get_ownership_status(self, once: OnceKey) -> Standing:
-        return self._ownership.get_standing(
+    def _get_ownership_status(self, once: OnceKey) -> OwnershipStatus:
+        return self._ownership.get_ownership_status(
             once.key,
             once.born_ms,
             get_monotonic_ms(),
@@ -143,9 +143,9 @@
         self, call: StageCall, once: OnceKey
     ) -> StageAnswer | None:
         status = self._get_ownership_status(once)
-        if status is Standing.born_before:
+        if status is OwnershipStatus.born_before:
             return self._refuse(call, Outcome.unknown, _REFUSAL_REASONS[status])
-        if status is not Standing.owner:
+        if status is not OwnershipStatus.owner:
             return self._refuse(
                 call,
                 Outcome.not_run,
--- a/packages/ragworthollow-daemon/src/ragworthollow_daemon/sidecar/once_routes.py
+++ b/packages/ragworthollow-daemon/src/ragworthollow_daemon/sidecar/once_routes.py
@@ -9,7 +9,7 @@
     MemberRequest,
     RecordTransfer,
 )
-from ragworthollow.once.promises import reply_to
+from ragworthollow.once.promises import make_reply
 from ragworthollow.transport import OnceKey
 from ragworthollow.transport.responses import Problem, respond
 from ragworthollow.utils import get_monotonic_ms
@@ -80,7 +80,7 @@
         if peer_request is None:
             return respond(Problem(error='not a question'), status=400)
         return respond(
-            reply_to(self._ownership, peer_request, get_monotonic_ms()),
+            make_reply(self._ownership, peer_request, get_monotonic_ms()),
         )
 
     async def introduce(self, request: web.Request) -> web.Response:
@@ -89,7 +89,7 @@
         if peer_request is None:
             return respond(Problem(error='not a question'), status=400)
         if peer_request.assignment is not None:
-            self._ownership.learn(peer_request.assignment)
+            self._ownership.apply_assignment(peer_request.assignment)
         elif peer_request.epoch > self._ownership.assignment.epoch:
             await self._agent.refresh_assignment()
         return respond(self._make_reply())
--- a/packages/ragworthollow-daemon/src/ragworthollow_daemon/sidecar/record_reader.py
+++ b/packages/ragworthollow-daemon/src/ragworthollow_daemon/sidecar/record_reader.py
@@ -68,7 +68,7 @@
             if isinstance(renewed, Err):
                 return None
             if not renewed.ok_value:
-                self._ownership.lose()
+                self._ownership.handle_lease_expiry()
                 self._context.metrics.count_event('lease_lapsed')
                 log_event('lease_lapsed', step='once', peer=self._name)
         entries = await self.read()
@@ -90,11 +90,11 @@
         if stored.get_position() > self._stored_assignment.get_position():
             # A write of this process that is still in transit compares the
             # old revision and can no longer apply.
-            self._ownership.taking = ''
+            self._ownership.takeover_target = ''
             self._ownership.moving = frozenset()
         if stored.get_position() >= self._stored_assignment.get_position():
             self._stored_assignment = stored
-            self._ownership.learn(decode_assignment(stored.text))
+            self._ownership.apply_assignment(decode_assignment(stored.text))
         return entries
 
     def compare_assignment(self) -> Compare:
--- a/packages/ragworthollow/src/ragworthollow/once/assignment.py
+++ b/packages/ragworthollow/src/ragworthollow/once/assignment.py
@@ -98,7 +98,7 @@
     return xxhash.xxh64_intdigest(key.encode()) % global_settings.ONCE_RANGES
 
 
-def get_preferred(index: int, instances: list[str]) -> str:
+def get_preferred_owner(index: int, instances: list[str]) -> str:
     """
     Return the live instance that should own a range.
 
--- a/packages/ragworthollow/src/ragworthollow/once/ownership.py
+++ b/packages/ragworthollow/src/ragworthollow/once/ownership.py
@@ -8,12 +8,12 @@
     Assignment,
     Member,
     RangeOwner,
-    get_preferred,
+    get_preferred_owner,
     get_range,
 )
 
 
-class Standing(enum.StrEnum):
+class OwnershipStatus(enum.StrEnum):
     """Define the ownership status of a key in this process."""
 
     owner = 'owner'
@@ -79,8 +79,9 @@
     upstream is safe: the key was created before any takeover that happens
     meanwhile, and a new owner never runs a key created before its ownership.
 
-    While the write of a takeover is in transit to the platform, `taking` names
-    the member, which gets no promise until the assignment has changed.
+    While the write of a takeover is in transit to the platform,
+    `takeover_target` names the member, which gets no promise until the
+    assignment has changed.
 
     Parameters
     ----------
@@ -102,13 +103,13 @@
         self.rules = rules or OwnershipRules()
         self.assignment = Assignment()
         self.moving: frozenset[int] = frozenset()
-        self.taking = ''
+        self.takeover_target = ''
         self._confirmed_ms = float('-inf')
         self._received_promises_ms: dict[str, float] = {}
         self._granted_promises_ms: dict[str, float] = {}
         self._acknowledged_by: set[str] = set()
 
-    def learn(self, assignment: Assignment) -> None:
+    def apply_assignment(self, assignment: Assignment) -> None:
         """Apply an assignment unless its epoch is older than the known one."""
         if assignment.epoch < self.assignment.epoch:
             return
@@ -125,12 +126,12 @@
         """
         self._confirmed_ms = max(self._confirmed_ms, sent_ms)
 
-    def lose(self) -> None:
+    def handle_lease_expiry(self) -> None:
         """Record that the lease of this process has expired."""
         self._confirmed_ms = float('-inf')
         self._received_promises_ms.clear()
 
-    def note_known_by(self, member: str) -> None:
+    def record_known_by(self, member: str) -> None:
         """Record that a member has read an assignment with this process."""
         self._acknowledged_by.add(member)
 
@@ -171,14 +172,14 @@
             False if the epochs differ, since the requester may have lost its
             ranges.
         """
-        if epoch != self.assignment.epoch or requester == self.taking:
+        if epoch != self.assignment.epoch or requester == self.takeover_target:
             return False
         if self.get_own_member() is None:
             return False
         self._granted_promises_ms[requester] = now_ms + self.rules.grant_ms
         return True
 
-    def is_sure(self, now_ms: float) -> bool:
+    def is_certain(self, now_ms: float) -> bool:
         """Return whether no other process can own our ranges at this time."""
         return now_ms < self.get_certain_until_ms()
 
@@ -218,7 +219,7 @@
     def get_misplaced_ranges(self, instances: list[str]) -> dict[int, str]:
         """Return own ranges that should move, with the preferred instance."""
         wanted = {
-            index: get_preferred(index, instances)
+            index: get_preferred_owner(index, instances)
             for index, owner in enumerate(self.assignment.ranges)
             if self.is_ours(owner)
         }
@@ -232,7 +233,9 @@
         """Return whether this process owns any range."""
         return any(map(self.is_ours, self.assignment.ranges))
 
-    def get_standing(self, key: str, born_ms: int, now_ms: float) -> Standing:
+    def get_ownership_status(
+        self, key: str, born_ms: int, now_ms: float
+    ) -> OwnershipStatus:
         """
         Decide whether a key without a record may run here.
 
@@ -247,19 +250,19 @@
 
         Returns
         -------
-        Standing
+        OwnershipStatus
             Only `owner` allows the key to run.
         """
         owner = self.assignment.get_owner(key)
         if owner is None or not self.is_ours(owner):
-            return Standing.not_owner
+            return OwnershipStatus.not_owner
         if get_range(key) in self.moving:
-            return Standing.not_owner
-        if not self.is_sure(now_ms):
-            return Standing.unsure
+            return OwnershipStatus.not_owner
+        if not self.is_certain(now_ms):
+            return OwnershipStatus.unsure
         if self.rules.checks_birth and born_ms < owner.since_ms:
-            return Standing.born_before
-        return Standing.owner
+            return OwnershipStatus.born_before
+        return OwnershipStatus.owner
 
     def may_take_over(
         self,
--- a/packages/ragworthollow/src/ragworthollow/once/plan.py
+++ b/packages/ragworthollow/src/ragworthollow/once/plan.py
@@ -51,7 +51,7 @@
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
-class View:
+class PlatformView:
     """
     Hold the state read from the platform and the clocks.
 
--- a/packages/ragworthollow/src/ragworthollow/once/planner.py
+++ b/packages/ragworthollow/src/ragworthollow/once/planner.py
@@ -11,10 +11,10 @@
     RangeOwner,
 )
 from ragworthollow.once.ownership import Ownership
-from ragworthollow.once.plan import NOTHING, Plan, Step, View
+from ragworthollow.once.plan import NOTHING, Plan, PlatformView, Step
 
 
-def plan_step(ownership: Ownership, view: View) -> Plan:
+def plan_step(ownership: Ownership, view: PlatformView) -> Plan:
     """
     Choose the next change to try.
 
@@ -22,7 +22,7 @@
     ----------
     ownership : Ownership
         Ownership state of this process.
-    view : View
+    view : PlatformView
         State just read from the platform.
 
     Returns
@@ -37,7 +37,7 @@
     return _plan_leave(ownership, view)
 
 
-def _plan_join(ownership: Ownership, view: View) -> Plan:
+def _plan_join(ownership: Ownership, view: PlatformView) -> Plan:
     current = ownership.assignment
     if view.leaving or ownership.get_own_member() is not None:
         return NOTHING
@@ -67,7 +67,7 @@
     )
 
 
-def _plan_reclaim(ownership: Ownership, view: View) -> Plan:
+def _plan_reclaim(ownership: Ownership, view: PlatformView) -> Plan:
     current = ownership.assignment
     stale = [
         index
@@ -86,7 +86,7 @@
     )
 
 
-def _plan_take_over(ownership: Ownership, view: View) -> Plan:
+def _plan_take_over(ownership: Ownership, view: PlatformView) -> Plan:
     current = ownership.assignment
     if view.leaving:
         return NOTHING
@@ -100,7 +100,9 @@
     return NOTHING
 
 
-def _make_take_over(ownership: Ownership, view: View, absent: str) -> Plan:
+def _make_take_over(
+    ownership: Ownership, view: PlatformView, absent: str
+) -> Plan:
     current = ownership.assignment
     own_range = _make_own_range(ownership, view)
     taken = {
@@ -121,7 +123,7 @@
     )
 
 
-def _plan_move(ownership: Ownership, view: View) -> Plan:
+def _plan_move(ownership: Ownership, view: PlatformView) -> Plan:
     current = ownership.assignment
     stable = [
         member.instance
@@ -129,7 +131,7 @@
         if member.instance in view.alive
         and not view.alive[member.instance].leaving
     ]
-    if not stable or not ownership.is_sure(view.now_ms):
+    if not stable or not ownership.is_certain(view.now_ms):
         return NOTHING
     misplaced = ownership.get_misplaced_ranges(stable)
     if not misplaced:
@@ -156,7 +158,7 @@
     )
 
 
-def _plan_leave(ownership: Ownership, view: View) -> Plan:
+def _plan_leave(ownership: Ownership, view: PlatformView) -> Plan:
     current = ownership.assignment
     is_member = current.get_member(ownership.instance) is not None
     owns_any = any(
@@ -175,7 +177,7 @@
     )
 
 
-def _make_own_range(ownership: Ownership, view: View) -> RangeOwner:
+def _make_own_range(ownership: Ownership, view: PlatformView) -> RangeOwner:
     return RangeOwner(
         instance=ownership.instance,
         incarnation=ownership.incarnation,
--- a/packages/ragworthollow/src/ragworthollow/once/promises.py
+++ b/packages/ragworthollow/src/ragworthollow/once/promises.py
@@ -6,7 +6,7 @@
 from ragworthollow.once.peer_messages import MemberReply, MemberRequest
 
 
-def make_question(ownership: Ownership) -> MemberRequest:
+def make_promise_request(ownership: Ownership) -> MemberRequest:
     """Return the request for a promise from another member."""
     return MemberRequest(
         instance=ownership.instance,
@@ -14,7 +14,7 @@
     )
 
 
-def reply_to(
+def make_reply(
     ownership: Ownership,
     request: MemberRequest,
     now_ms: float,
@@ -42,7 +42,7 @@
         Includes the assignment if the requester knows an older epoch.
     """
     if request.assignment is not None:
-        ownership.learn(request.assignment)
+        ownership.apply_assignment(request.assignment)
     granted = ownership.grant_promise(request.instance, request.epoch, now_ms)
     known = ownership.assignment
     return MemberReply(
@@ -53,7 +53,7 @@
     )
 
 
-def show_record(
+def make_request_with_assignment(
     ownership: Ownership,
     request: MemberRequest,
     reply: MemberReply,
@@ -71,7 +71,7 @@
     return msgspec.structs.replace(request, assignment=ownership.assignment)
 
 
-def take_reply(
+def apply_reply(
     ownership: Ownership,
     reply: MemberReply,
     sent_ms: float,
@@ -96,5 +96,5 @@
     if reply.granted:
         ownership.record_promise(reply.incarnation, sent_ms)
     elif reply.assignment is not None:
-        ownership.learn(reply.assignment)
+        ownership.apply_assignment(reply.assignment)
     return reply.granted
--- a/tests/features/steps/at_most_once.py
+++ b/tests/features/steps/at_most_once.py
@@ -7,7 +7,7 @@
 from behave import given, then, when
 
 from ragworthollow.once import Assignment
-from ragworthollow.once.assignment import decode_assignment, get_preferred
+from ragworthollow.once.assignment import decode_assignment, get_preferred_owner
 
 _PIPELINE = 'certificate-drafting'
 _POOL = 'ledger-api'
@@ -270,7 +270,7 @@
     if {member.instance for member in known.members} != set(names):
         return False
     return all(
-        owner.instance == get_preferred(index, names)
+        owner.instance == get_preferred_owner(index, names)
         for index, owner in enumerate(known.ranges)
     )
 
--- a/tests/features/steps/once_ownership.py
+++ b/tests/features/steps/once_ownership.py
@@ -5,7 +5,7 @@
 from hypothesis.stateful import run_state_machine_as_test
 
 from ragworthollow.once.assignment import get_range
-from ragworthollow.once.ownership import Standing
+from ragworthollow.once.ownership import OwnershipStatus
 from tests.fixtures.once_model import Model, make_machine
 
 
@@ -81,7 +81,7 @@
     owner = next(
         index
         for index in range(3)
-        if model.send(index, 'key') is Standing.owner
+        if model.send(index, 'key') is OwnershipStatus.owner
     )
     model.sidecars[owner].paused = True
     model.run_for(12_000)
@@ -123,7 +123,9 @@
 
 @then('it refuses them until the record has changed')
 def check_refused(context):
-    assert set(context.standings) == {Standing.not_owner}, context.standings
+    assert set(context.standings) == {OwnershipStatus.not_owner}, (
+        context.standings
+    )
     model = context.model
     one = model.sidecars[context.owner]
     model.deliver()
@@ -167,7 +169,7 @@
     model = context.model
     for one in model.sidecars:
         if one.ownership.owns_any():
-            assert one.ownership.is_sure(model.now_ms), one.name
+            assert one.ownership.is_certain(model.now_ms), one.name
 
 
 def _ask_keys(model, *, skew_ms):
