--- a/packages/ragworthollow-daemon/src/ragworthollow_daemon/drain.py
+++ b/packages/ragworthollow-daemon/src/ragworthollow_daemon/drain.py
@@ -35,7 +35,7 @@
         is_inactive = inactive_ms >= global_settings.DRAIN_QUIET_MS
         return not self.in_flight and is_inactive
 
-    async def wait_quiet(self, limit_ms: float) -> bool:
+    async def wait_until_idle(self, limit_ms: float) -> bool:
         """
         Wait until the process is idle.
 
--- a/packages/ragworthollow-daemon/src/ragworthollow_daemon/entry/role.py
+++ b/packages/ragworthollow-daemon/src/ragworthollow_daemon/entry/role.py
@@ -59,4 +59,4 @@
         """
         lag_ms = self._context.settings.balancer_lag_ms
         await asyncio.sleep(min(lag_ms, limit_ms) / _MILLISECONDS)
-        await self._context.drain.wait_quiet(limit_ms)
+        await self._context.drain.wait_until_idle(limit_ms)
--- a/packages/ragworthollow-daemon/src/ragworthollow_daemon/gateway/role.py
+++ b/packages/ragworthollow-daemon/src/ragworthollow_daemon/gateway/role.py
@@ -159,9 +159,9 @@
         await self.membership.leave()
         await self.context.stop.wait(global_settings.GATEWAY_BALANCER_LAG_MS)
         remaining_ms = self.context.stop.get_remaining_ms(get_boottime_ms())
-        if not await self.context.drain.wait_quiet(remaining_ms):
+        if not await self.context.drain.wait_until_idle(remaining_ms):
             self.context.stop.abort()
-            await self.context.drain.wait_quiet(
+            await self.context.drain.wait_until_idle(
                 global_settings.GATEWAY_FINAL_RESPONSES_MS,
             )
         await self.membership.end()
--- a/packages/ragworthollow-daemon/src/ragworthollow_daemon/sidecar/role.py
+++ b/packages/ragworthollow-daemon/src/ragworthollow_daemon/sidecar/role.py
@@ -103,7 +103,7 @@
         """
         if self._has_once_stages():
             await self._agent.leave(limit_ms)
-        await self._context.drain.wait_quiet(limit_ms)
+        await self._context.drain.wait_until_idle(limit_ms)
         await self._order_agent.lease.release()
 
     async def _run_agent(self) -> None:
