--- a/packages/ragworthollow-daemon/src/ragworthollow_daemon/entry/stage_caller.py
+++ b/packages/ragworthollow-daemon/src/ragworthollow_daemon/entry/stage_caller.py
@@ -12,8 +12,8 @@
 from ragworthollow.outcomes import Outcome, Reason
 from ragworthollow.routing import PeerState
 from ragworthollow.transport import StageAnswer, StageCall, StreamLine
-from ragworthollow.transport.marked_body import TrackedBody
 from ragworthollow.transport.stage_answer import refuse
+from ragworthollow.transport.tracked_body import TrackedBody
 from ragworthollow.utils import get_monotonic_ms
 from ragworthollow_daemon.process_context import ProcessContext
 
--- a/packages/ragworthollow-daemon/src/ragworthollow_daemon/gateway/attempt.py
+++ b/packages/ragworthollow-daemon/src/ragworthollow_daemon/gateway/attempt.py
@@ -11,8 +11,8 @@
 from ragworthollow.conf import global_settings
 from ragworthollow.exchange import AttemptMetadata, ResponseMetadata
 from ragworthollow.outcomes import Outcome, Reason
-from ragworthollow.platform.answer_wire import read_response_metadata
 from ragworthollow.platform.request_wire import make_upstream_headers
+from ragworthollow.platform.response_wire import read_response_metadata
 from ragworthollow.transport.timeouts import make_timeout
 from ragworthollow.upstreams import UpstreamInstance
 from ragworthollow.utils import get_boottime_ms, get_monotonic_ms
--- a/packages/ragworthollow-daemon/src/ragworthollow_daemon/gateway/attempt_series.py
+++ b/packages/ragworthollow-daemon/src/ragworthollow_daemon/gateway/attempt_series.py
@@ -10,7 +10,7 @@
 from ragworthollow.conf import global_settings
 from ragworthollow.logs.events import log_event
 from ragworthollow.outcomes import Outcome, Reason
-from ragworthollow.platform.answer_wire import make_caller_headers
+from ragworthollow.platform.response_wire import make_caller_headers
 from ragworthollow.routes.allowed_regions import is_region_allowed
 from ragworthollow.upstreams import (
     UpstreamCriteria,
--- a/packages/ragworthollow-daemon/src/ragworthollow_daemon/gateway/call_monitor.py
+++ b/packages/ragworthollow-daemon/src/ragworthollow_daemon/gateway/call_monitor.py
@@ -9,7 +9,7 @@
 from ragworthollow.conf import global_settings
 from ragworthollow.logs.events import log_event
 from ragworthollow.pieces import PieceCall
-from ragworthollow.platform.answer_wire import read_response_metadata
+from ragworthollow.platform.response_wire import read_response_metadata
 from ragworthollow.platform.stage_wire import REPORT_PATH, decode_is_busy
 from ragworthollow.transport.timeouts import make_timeout
 from ragworthollow.upstreams import UpstreamInstance
--- a/packages/ragworthollow-daemon/src/ragworthollow_daemon/gateway/piece_call.py
+++ b/packages/ragworthollow-daemon/src/ragworthollow_daemon/gateway/piece_call.py
@@ -7,7 +7,7 @@
 from ragworthollow.conf import global_settings
 from ragworthollow.outcomes import Outcome, Reason
 from ragworthollow.pieces import PieceCall, PieceResult
-from ragworthollow.platform.answer_wire import read_response_metadata
+from ragworthollow.platform.response_wire import read_response_metadata
 from ragworthollow.platform.stage_wire import (
     EXPECT_INSTANCE,
     RUN_PATH,
--- a/packages/ragworthollow-daemon/src/ragworthollow_daemon/gateway/result_releases.py
+++ b/packages/ragworthollow-daemon/src/ragworthollow_daemon/gateway/result_releases.py
@@ -6,7 +6,7 @@
 
 from ragworthollow.conf import global_settings
 from ragworthollow.logs.events import log_event
-from ragworthollow.platform.answer_wire import read_response_metadata
+from ragworthollow.platform.response_wire import read_response_metadata
 from ragworthollow.platform.stage_wire import (
     EXPECT_INSTANCE,
     RELEASE_RESULTS_PATH,
--- a/packages/ragworthollow-daemon/src/ragworthollow_daemon/gateway/stream_relay.py
+++ b/packages/ragworthollow-daemon/src/ragworthollow_daemon/gateway/stream_relay.py
@@ -4,7 +4,7 @@
 
 from aiohttp import ClientResponse, web
 
-from ragworthollow.platform.answer_wire import make_caller_headers
+from ragworthollow.platform.response_wire import make_caller_headers
 from ragworthollow_daemon.gateway.event_buffer import EventBuffer
 from ragworthollow_daemon.gateway.request_job import RequestJob
 from ragworthollow_daemon.gateway.response_progress import ResponseProgress
--- a/packages/ragworthollow-daemon/src/ragworthollow_daemon/process_context.py
+++ b/packages/ragworthollow-daemon/src/ragworthollow_daemon/process_context.py
@@ -6,7 +6,9 @@
 import aiohttp
 
 from ragworthollow.conf import DaemonSettings, global_settings
-from ragworthollow.configuration.follower import ConfigurationSynchronizer
+from ragworthollow.configuration.configuration_synchronizer import (
+    ConfigurationSynchronizer,
+)
 from ragworthollow.configuration.store import ConfigurationStore
 from ragworthollow.logs.events import log_error
 from ragworthollow.membership import PeerDirectory
--- a/packages/ragworthollow-daemon/src/ragworthollow_daemon/sidecar/member_relations.py
+++ b/packages/ragworthollow-daemon/src/ragworthollow_daemon/sidecar/member_coordinator.py
@@ -13,8 +13,8 @@
 )
 from ragworthollow.utils import get_monotonic_ms
 from ragworthollow_daemon.process_context import ProcessContext
+from ragworthollow_daemon.sidecar.assignment_reader import Members
 from ragworthollow_daemon.sidecar.member_client import MemberClient
-from ragworthollow_daemon.sidecar.record_reader import Members
 
 
 class MemberCoordinator:
--- a/packages/ragworthollow-daemon/src/ragworthollow_daemon/sidecar/once_agent.py
+++ b/packages/ragworthollow-daemon/src/ragworthollow_daemon/sidecar/once_agent.py
@@ -14,9 +14,12 @@
 from ragworthollow.platform.transaction import Compare, Put
 from ragworthollow.utils import get_monotonic_ms, get_wall_ms
 from ragworthollow_daemon.process_context import ProcessContext
+from ragworthollow_daemon.sidecar.assignment_reader import (
+    AssignmentReader,
+    Members,
+)
 from ragworthollow_daemon.sidecar.member_client import MemberClient
-from ragworthollow_daemon.sidecar.member_relations import MemberCoordinator
-from ragworthollow_daemon.sidecar.record_reader import AssignmentReader, Members
+from ragworthollow_daemon.sidecar.member_coordinator import MemberCoordinator
 
 _MILLISECONDS = 1000
 
--- a/packages/ragworthollow-daemon/src/ragworthollow_daemon/sidecar/once_routes.py
+++ b/packages/ragworthollow-daemon/src/ragworthollow_daemon/sidecar/once_routes.py
@@ -14,7 +14,7 @@
 from ragworthollow.transport.responses import Problem, respond
 from ragworthollow.utils import get_monotonic_ms
 from ragworthollow_daemon.sidecar.once_agent import OnceAgent
-from ragworthollow_daemon.sidecar.once_gate import OnceExecutor
+from ragworthollow_daemon.sidecar.once_executor import OnceExecutor
 
 _MAX_WAIT_MS = 10_000.0
 
--- a/packages/ragworthollow-daemon/src/ragworthollow_daemon/sidecar/role.py
+++ b/packages/ragworthollow-daemon/src/ragworthollow_daemon/sidecar/role.py
@@ -12,11 +12,11 @@
 from ragworthollow.utils import get_wall_ms
 from ragworthollow_daemon.process_context import ProcessContext
 from ragworthollow_daemon.sidecar.once_agent import OnceAgent
-from ragworthollow_daemon.sidecar.once_gate import OnceExecutor
+from ragworthollow_daemon.sidecar.once_executor import OnceExecutor
 from ragworthollow_daemon.sidecar.once_routes import OnceRoutes
 from ragworthollow_daemon.sidecar.order_agent import OrderAgent
 from ragworthollow_daemon.sidecar.slot_queue import SlotQueue
-from ragworthollow_daemon.sidecar.stage_gate import StageExecutor
+from ragworthollow_daemon.sidecar.stage_executor import StageExecutor
 from ragworthollow_daemon.sidecar.stage_routes import StageRoutes, ignore_token
 from ragworthollow_daemon.sidecar.upstream_client import UpstreamClient
 from ragworthollow_daemon.web.health_routes import DETAILS_KEY
--- a/packages/ragworthollow-daemon/src/ragworthollow_daemon/sidecar/stage_routes.py
+++ b/packages/ragworthollow-daemon/src/ragworthollow_daemon/sidecar/stage_routes.py
@@ -9,8 +9,8 @@
 from ragworthollow.transport import OnceKey, StageAnswer, StageCall, StreamLine
 from ragworthollow.transport.responses import Problem, respond
 from ragworthollow_daemon.process_context import ProcessContext
-from ragworthollow_daemon.sidecar.once_gate import OnceExecutor
-from ragworthollow_daemon.sidecar.stage_gate import StageExecutor
+from ragworthollow_daemon.sidecar.once_executor import OnceExecutor
+from ragworthollow_daemon.sidecar.stage_executor import StageExecutor
 
 _LINE_END = b'\n'
 
--- a/packages/ragworthollow-daemon/src/ragworthollow_daemon/sidecar/upstream_client.py
+++ b/packages/ragworthollow-daemon/src/ragworthollow_daemon/sidecar/upstream_client.py
@@ -9,7 +9,7 @@
 from ragworthollow.configuration.stage import StageKind
 from ragworthollow.outcomes import Outcome, Reason
 from ragworthollow.transport import StageCall, StreamLine
-from ragworthollow.transport.marked_body import TrackedBody
+from ragworthollow.transport.tracked_body import TrackedBody
 from ragworthollow_daemon.process_context import get_timeout
 from ragworthollow_daemon.sidecar.upstream_messages import (
     CompletionChunk,
--- a/packages/ragworthollow/src/ragworthollow/configuration/store.py
+++ b/packages/ragworthollow/src/ragworthollow/configuration/store.py
@@ -12,7 +12,7 @@
 from ragworthollow.configuration.exceptions import ConfigurationError
 from ragworthollow.configuration.manifest import Manifest
 from ragworthollow.configuration.merge import SourceFile
-from ragworthollow.configuration.parse_memory import ParseCache
+from ragworthollow.configuration.parse_cache import ParseCache
 from ragworthollow.configuration.snapshot import Snapshot, hash_text
 from ragworthollow.outcomes import Reason
 
--- a/packages/ragworthollow/src/ragworthollow/once/__init__.py
+++ b/packages/ragworthollow/src/ragworthollow/once/__init__.py
@@ -1,7 +1,7 @@
 """Run non-repeatable calls at most once, across crashes and retries."""
 
 from ragworthollow.once.assignment import Assignment, Member, RangeOwner
-from ragworthollow.once.ledger import KeyRegistry
+from ragworthollow.once.key_registry import KeyRegistry
 from ragworthollow.once.lookup import LookupAnswer, LookupState
 from ragworthollow.once.ownership import Ownership
 from ragworthollow.once.record import KeyRecord, RecordState
--- a/packages/ragworthollow/src/ragworthollow/platform/store_transport.py
+++ b/packages/ragworthollow/src/ragworthollow/platform/store_transport.py
@@ -8,7 +8,7 @@
 
 from ragworthollow.logs.events import log_event
 from ragworthollow.platform.exceptions import PlatformError
-from ragworthollow.platform.store_answer import StoreResponse
+from ragworthollow.platform.store_response import StoreResponse
 from ragworthollow.transport.timeouts import make_inactivity_timeout
 from ragworthollow.utils import get_monotonic_ms
 
--- a/tests/features/steps/thin_links.py
+++ b/tests/features/steps/thin_links.py
@@ -6,7 +6,9 @@
 from aiohttp import ClientSession, web
 from behave import given, step, then, when
 
-from ragworthollow.configuration.follower import ConfigurationSynchronizer
+from ragworthollow.configuration.configuration_synchronizer import (
+    ConfigurationSynchronizer,
+)
 from ragworthollow.configuration.snapshot import Snapshot
 from ragworthollow.configuration.store import ConfigurationStore
 from ragworthollow.membership import PeerDirectory
