--- a/packages/ragworthollow-ctl/src/ragworthollow_ctl/commands/apply.py
+++ b/packages/ragworthollow-ctl/src/ragworthollow_ctl/commands/apply.py
@@ -89,7 +89,7 @@
     if response.accepted:
         snapshot = asyncio.run(client.get('snapshot', Snapshot))
         _save_base(folder, snapshot)
-        sys.stdout.write(f'generation {response.generation} is in force\n')
+        sys.stdout.write(f'generation {response.generation} is active\n')
         return
     sys.stderr.write(f'{response.reason}: {response.detail}\n')
     if response.may_have_applied:
--- a/packages/ragworthollow-ctl/src/ragworthollow_ctl/commands/release.py
+++ b/packages/ragworthollow-ctl/src/ragworthollow_ctl/commands/release.py
@@ -33,5 +33,5 @@
         ),
     )
     if not response.is_released:
-        sys.stderr.write(f'nothing is known against {fingerprint}\n')
+        sys.stderr.write(f'request {fingerprint} is not quarantined\n')
         sys.exit(_NOT_QUARANTINED)
--- a/packages/ragworthollow-ctl/src/ragworthollow_ctl/difference.py
+++ b/packages/ragworthollow-ctl/src/ragworthollow_ctl/difference.py
@@ -98,7 +98,7 @@
         difflib.unified_diff(
             before.splitlines(),
             after.splitlines(),
-            fromfile=f'{name} (in force)',
+            fromfile=f'{name} (active)',
             tofile=f'{name} (folder)',
             lineterm='',
         ),
--- a/packages/ragworthollow-ctl/src/ragworthollow_ctl/service_client.py
+++ b/packages/ragworthollow-ctl/src/ragworthollow_ctl/service_client.py
@@ -69,7 +69,7 @@
                 except _REQUEST_ERRORS as error:
                     failures.append(f'{url}: {type(error).__name__}\n')
                 await asyncio.sleep(_RETRY_DELAY_S)
-        sys.stderr.write('no entry answered:\n')
+        sys.stderr.write('no entry responded:\n')
         sys.stderr.writelines(failures)
         sys.exit(_FAILURE_EXIT_CODE)
 
@@ -87,7 +87,7 @@
 ):
     body = await response.read()
     if response.status == _UNAUTHORIZED:
-        sys.stderr.write('the service does not know this operator key\n')
+        sys.stderr.write('the service rejected the operator key\n')
         sys.exit(_FAILURE_EXIT_CODE)
     return msgspec.json.decode(body, type=response_type)
 
@@ -110,9 +110,11 @@
     addresses = list(entries) or os.environ.get(ENTRIES_VARIABLE, '').split()
     key = os.environ.get(KEY_VARIABLE, '')
     if not addresses:
-        sys.stderr.write(f'name an entry with --entry or {ENTRIES_VARIABLE}\n')
+        sys.stderr.write(
+            f'specify an entry with --entry or {ENTRIES_VARIABLE}\n'
+        )
         sys.exit(2)
     if not key:
-        sys.stderr.write(f'put the operator key into {KEY_VARIABLE}\n')
+        sys.stderr.write(f'set the operator key in {KEY_VARIABLE}\n')
         sys.exit(2)
     return ServiceClient(entries=addresses, key=key)
--- a/packages/ragworthollow-daemon/src/ragworthollow_daemon/main.py
+++ b/packages/ragworthollow-daemon/src/ragworthollow_daemon/main.py
@@ -21,7 +21,8 @@
 app = App(
     name='ragworthd',
     help='Run one process of ragworthollow: an entry, which receives'
-    " callers' requests, or a sidecar, which guards one upstream instance.",
+    " callers' requests, or a sidecar, which runs beside one upstream"
+    ' instance and limits its requests.',
     version=__version__,
 )
 
--- a/packages/ragworthollow/src/ragworthollow/conf/checks.py
+++ b/packages/ragworthollow/src/ragworthollow/conf/checks.py
@@ -40,7 +40,7 @@
         return [
             CheckMessage(
                 check_id='settings.E004',
-                text='role sidecar needs the key sidecar',
+                text='the role sidecar requires the key sidecar',
                 hint='name its pool and upstream_url',
                 where=f'{where}:sidecar',
             ),
@@ -61,7 +61,7 @@
     return [
         CheckMessage(
             check_id='settings.E005',
-            text=f'{address!r} is not an http address',
+            text=f'{address!r} is not an HTTP URL',
             hint='write it as http://IP:PORT',
             where=f'{where}:{key}',
         )
@@ -115,7 +115,7 @@
                 CheckMessage(
                     check_id='settings.E009',
                     text=f'{listen.get_address()}: {error.strerror}',
-                    hint='end what listens there, or choose another address',
+                    hint='stop the process on it, or use another address',
                     where=port_key,
                 ),
             ]
--- a/packages/ragworthollow/src/ragworthollow/configuration/change_rules.py
+++ b/packages/ragworthollow/src/ragworthollow/configuration/change_rules.py
@@ -39,7 +39,7 @@
                 accepted=False,
                 generation=manifest.generation,
                 reason=Reason.unauthorized,
-                detail=f'{name} belongs to {entry.owner}',
+                detail=f'{name} is owned by {entry.owner}',
             )
         base_hash = request.base.get(name, '')
         current_hash = entry.sha256 if entry is not None else ''
@@ -60,7 +60,7 @@
                 f'{name} was changed by {record.operator} in generation'
                 f' {record.generation}, change {record.change_id}'
             )
-    return f'{name} is not what you last saw'
+    return f'{name} differs from the version that the change is based on'
 
 
 def check_merge_result(
@@ -77,14 +77,15 @@
                 accepted=False,
                 generation=manifest.generation,
                 reason=Reason.unauthorized,
-                detail=f'{name} names {owner} as its owner, you are {operator}',
+                detail=f'{name} declares owner {owner}, but the change was made'
+                f' by {operator}',
             )
     if has_errors(merged.problems):
         return ChangeResponse(
             accepted=False,
             generation=manifest.generation,
             reason=Reason.invalid_configuration,
-            detail='the merged configuration would not be valid',
+            detail='the merged configuration is not valid',
             problems=merged.problems,
         )
     return None
--- a/packages/ragworthollow/src/ragworthollow/configuration/checks.py
+++ b/packages/ragworthollow/src/ragworthollow/configuration/checks.py
@@ -57,8 +57,8 @@
         if len(source.text) > global_settings.LARGE_FILE_WARNING_BYTES:
             yield CheckMessage(
                 check_id='config.W001',
-                text=f'{len(source.text)} characters travel to every process'
-                ' with each change of this file',
+                text=f'{len(source.text)} characters are sent to every'
+                ' process on each change of this file',
                 hint='split it, one file for each team or product',
                 where=source.name,
                 severity=Severity.warning,
@@ -99,14 +99,15 @@
     if len(key_hash) != _SHA256_LENGTH or set(key_hash) - _HEXADECIMAL:
         yield CheckMessage(
             check_id='config.E005',
-            text='key_sha256 holds something else than a SHA-256',
+            text='key_sha256 contains a value that is not a SHA-256 hash',
             hint='run "ragworthctl hash-key" on the key',
             where=where,
         )
     elif other_organisation is not None:
         yield CheckMessage(
             check_id='config.E006',
-            text=f'its key is also the key of {other_organisation}',
+            text='the same key is also declared for organisation'
+            f' {other_organisation}',
             hint='every organisation needs a key of its own',
             where=where,
         )
@@ -120,7 +121,7 @@
     if total > 1 + 1e-9:
         yield CheckMessage(
             check_id='config.E008',
-            text=f'the guarantees add up to {total:.3f} of every pool',
+            text=f'the sum of all guarantees is {total:.3f} of every pool',
             hint='lower some until the sum is at most 1',
             where='organisations',
         )
@@ -150,7 +151,7 @@
     if not names or len(set(names)) != len(names):
         yield CheckMessage(
             check_id='config.E010',
-            text='a pipeline needs stages, each of a name of its own',
+            text='a pipeline needs at least one stage, with unique names',
             where=where,
         )
     if not 0 < pipeline.deadline_ms <= global_settings.MAX_DEADLINE_MS:
@@ -164,7 +165,8 @@
         yield CheckMessage(
             check_id='config.E015',
             text='a pipeline has at most one stage that is not repeatable',
-            hint='one idempotency key guards one effect: split the pipeline',
+            hint='an idempotency key protects a single effect: split the'
+            ' pipeline',
             where=where,
         )
 
@@ -176,8 +178,8 @@
         yield CheckMessage(
             check_id='config.E019',
             text='a stage that is not repeatable must be the last one',
-            hint='its record holds the whole answer for a repeat: move the'
-            ' stages behind it before it, or into a pipeline of their own',
+            hint='its record stores the full response for a retry: move the'
+            ' later stages before it, or into a separate pipeline',
             where=where,
         )
 
@@ -210,7 +212,7 @@
     elif pool is not None and stage.model not in pool.models:
         yield CheckMessage(
             check_id='config.E016',
-            text=f'pool {stage.pool} does not carry model {stage.model}',
+            text=f'pool {stage.pool} does not serve model {stage.model}',
             hint='add the model to the models of the pool',
             where=stage_path,
         )
--- a/packages/ragworthollow/src/ragworthollow/configuration/merge.py
+++ b/packages/ragworthollow/src/ragworthollow/configuration/merge.py
@@ -81,7 +81,7 @@
             self.problems.append(
                 CheckMessage(
                     check_id='config.E004',
-                    text=f'{path} is already set by {earlier}, owned by'
+                    text=f'{path} is already declared in {earlier}, owned by'
                     f' {self.owners[earlier]}',
                     hint=f'ask its owner to list {path} under'
                     ' allow_override, or choose another name',
@@ -180,7 +180,7 @@
         return Err(
             CheckMessage(
                 check_id='config.E003',
-                text='the file names no owner',
+                text='the file declares no owner',
                 hint='add a line such as "owner: bluefields"',
                 where=name,
             ),
--- a/packages/ragworthollow/src/ragworthollow/configuration/publisher.py
+++ b/packages/ragworthollow/src/ragworthollow/configuration/publisher.py
@@ -98,8 +98,8 @@
         return ChangeResponse(
             accepted=False,
             reason=Reason.platform_unavailable,
-            detail='the platform gave no usable answer; ask again with the'
-            ' same change id, which never applies twice',
+            detail='the platform did not confirm the change; retry with the'
+            ' same change id, which is never applied twice',
             may_have_applied=may_have_applied,
         )
 
--- a/packages/ragworthollow/src/ragworthollow/platform/instances_wire.py
+++ b/packages/ragworthollow/src/ragworthollow/platform/instances_wire.py
@@ -70,7 +70,7 @@
     except (msgspec.DecodeError, RecursionError) as error:
         return _reject(key, repr(error))
     if not name or not _is_address(entry.addr):
-        return _reject(key, f'no instance at {entry.addr!r}')
+        return _reject(key, f'invalid instance name or address {entry.addr!r}')
     return UpstreamInstance(
         instance=name,
         pool=entry.backend,
--- a/packages/ragworthollow/src/ragworthollow/platform/store_transport.py
+++ b/packages/ragworthollow/src/ragworthollow/platform/store_transport.py
@@ -113,7 +113,7 @@
             return Err(self._explain(path, detail, applied=True))
         if timeline < self.timeline:
             # The state that it reports was lost when the store was restored.
-            detail = f'answer from before restoration {self.timeline}'
+            detail = f'response predates restoration {self.timeline}'
             return Err(self._explain(path, detail, applied=True))
         if status == absent_status or not is_complete:
             return Ok(StoreResponse(body=None, timeline=timeline))
@@ -196,5 +196,5 @@
         now_ms = get_monotonic_ms()
         return (
             f'{self._size} bytes in {now_ms - self._started_ms:.0f} ms, '
-            f'silent for {now_ms - self._last_received_ms:.0f} ms'
+            f'no data for {now_ms - self._last_received_ms:.0f} ms'
         )
--- a/packages/ragworthollow/src/ragworthollow/utils/strict_yaml.py
+++ b/packages/ragworthollow/src/ragworthollow/utils/strict_yaml.py
@@ -59,7 +59,7 @@
     try:
         text = source.decode('utf-8')
     except UnicodeDecodeError as error:
-        return Err(f'not UTF-8 at byte {error.start}')
+        return Err(f'invalid UTF-8 at byte {error.start}')
     return _parse(text)
 
 
@@ -71,11 +71,11 @@
         where = f' at line {mark.line + 1}' if mark else ''
         return Err(f'{error.problem}{where}')
     except (yaml.YAMLError, RecursionError, ValueError) as error:
-        return Err(f'unreadable YAML: {error}'.splitlines()[0])
+        return Err(f'invalid YAML: {error}'.splitlines()[0])
     if document is None:
         return Ok({})
     if not isinstance(document, dict):
-        return Err('the top of the file is not a mapping')
+        return Err('the top level of the file is not a mapping')
     return Ok(document)
 
 
