--- a/packages/ragworthollow/src/ragworthollow/conf/global_settings.py
+++ b/packages/ragworthollow/src/ragworthollow/conf/global_settings.py
@@ -175,8 +175,9 @@
 # refuses a caller that retries after a refusal.
 ADMISSION_GRACE_MS = 100
 # Part of its latency objective that a new request must be expected to have left
-# when pools have queues.  Under heavy load 0.15 attains more of the requests'
-# worth (0.668) than 0.1 or 0.2 (0.658 each) or no margin (0.636).
+# when pools have queues.  A smaller margin admits requests that narrowly miss
+# their objective after they have used capacity; a larger one refuses requests
+# that could have been served in time.
 ADMISSION_MARGIN = 0.15
 # Callers abandon a stream that has not started after this multiple of its
 # latency objective, and not before the minimum.
@@ -226,8 +227,9 @@
 # the accounted space; results are released every few hundred milliseconds.
 RESULT_SPACE_RETRY_MS = 100
 # An engine reads the inputs of a request before its prompt; the prompt takes
-# hundreds of milliseconds, the inputs a few.  With this delay none of 1,800
-# requests under heavy load found its inputs released.
+# hundreds of milliseconds, the inputs a few.  A shorter delay may release them
+# before a busy engine has read them; a longer one keeps the space for results
+# occupied in the pool that produced them.
 ENGINE_INPUTS_READ_MS = 40
 # A stage is started as a whole where the results of this many full calls do not
 # fit into the result space of an instance.
@@ -420,9 +422,9 @@
 # fraction of a millisecond.
 LOCALITY_MIN_BYTES = 200_000
 # Part of a piece's slack that it may wait for an instance local to the consumer
-# of its result.  0.3 serves better under load than 0.2 and 0.4; in light
-# traffic 0.4 loses two percentage points of timely responses for each point of
-# traffic between domains that it saves.
+# of its result.  A smaller part moves more results between domains; a larger
+# one uses up slack that later stages need, and more responses are late for
+# little saved traffic.
 LOCALITY_WAIT_SHARE = 0.3
 
 # Maximum number of instances that are remembered as shutting down; a fleet
