--- a/packages/ragworthollow/src/ragworthollow/replica/replica.py
+++ b/packages/ragworthollow/src/ragworthollow/replica/replica.py
@@ -49,7 +49,7 @@
     ----------
     view : StoreView
         The copy.
-    evidence : Freshness
+    freshness : Freshness
         As of when the copy is known to be up to date.
     """
 
