--- a/tests/features/answer_notices.feature
+++ b/tests/features/answer_notices.feature
@@ -1,10 +1,10 @@
 @each.gateway
-Feature: An instance is believed what it says of itself in its answers
+Feature: Instances report their state in response metadata
 
-  Scenario Outline: An instance leaves while the store is away, and says so in <what>
-    # Guards against work for an instance that leaves: with the store away its
-    # entry still read ready, and requests reached it long after an answer had
-    # said that it leaves.
+  Scenario Outline: An instance shuts down in a store outage, reported in <what>
+    # Guards against work for an instance that is shutting down: while the store
+    # was unavailable its record still read ready, and requests reached it long
+    # after a response had reported the shutdown.
     Given the store is away
     And u1 leaves, which only its answers say
     When callers post to <path> until u1 has answered
@@ -21,9 +21,9 @@
       | a stream's head     | /stream/stream  |
       | a stream that broke | /resumable/break |
 
-  Scenario: The other gateways hear of it
-    # Guards against gateways that each send work until an answer tells them,
-    # while others know already.
+  Scenario: The other gateways are notified of a shutdown
+    # Guards against gateways that send work until they get a response
+    # themselves, although other gateways know of the shutdown already.
     Given two more gateways and an instance for stage work
     And the store is away
     And u1 leaves, which only its answers say
@@ -32,8 +32,8 @@
     And 20 more callers post to /safe/answer at each gateway
     Then u1 has got nothing since its answer
 
-  Scenario: The store comes back with an entry that still reads ready
-    # Guards against an older list that takes back what the instance has said.
+  Scenario: The store recovers with a record that still reads ready
+    # Guards against an older list that overrides what the instance reported.
     Given the store is away
     And u1 leaves, which only its answers say
     When callers post to /safe/answer until u1 has answered
@@ -41,8 +41,8 @@
     And 20 more callers post to /safe/answer
     Then u1 has got nothing since its answer
 
-  Scenario: An instance starts again under its name after it has left
-    # Guards against a word that is held against another start of an instance.
+  Scenario: An instance starts again under its name after its shutdown
+    # Guards against a report that is applied to a later incarnation.
     Given the store is away
     And u1 leaves, which only its answers say
     When callers post to /safe/answer until u1 has answered
@@ -50,8 +50,9 @@
     And 20 more callers post to /safe/answer
     Then u1 has got work since its answer
 
-  Scenario: Every instance of a pool leaves
-    # Guards against a try at an instance that leaves, since none is left.
+  Scenario: Every instance of a pool shuts down
+    # Guards against an attempt at an instance that is shutting down because no
+    # other is left.
     Given u1 and u2 leave, which only their answers say
     When callers post to /safe/answer until u1 has answered
     And callers post to /safe/answer until u2 has answered
@@ -59,8 +60,9 @@
     Then u1 has got nothing since its answer
     And all were refused as not run
 
-  Scenario: An instance leaves that makes pieces
-    # Guards against calls for pieces that go on to an instance that leaves.
+  Scenario: An instance that produces pieces shuts down
+    # Guards against calls for pieces that are still sent to an instance that is
+    # shutting down.
     Given two more gateways and an instance for stage work
     And another instance for stage work
     And s1 leaves, which only its answers say
@@ -69,9 +71,9 @@
     And 12 more callers post stage work through all gateways
     Then s1 has got nothing since its answer
 
-  Scenario: Every instance that makes pieces leaves
-    # Guards against hosts of gates that seem silent and refusals that cannot be
-    # read, since the wait for an empty pool has no end.
+  Scenario: Every instance that produces pieces shuts down
+    # Guards against an unbounded wait for an empty pool: scheduler hosts would
+    # seem unresponsive, and their refusals could not be read.
     Given two more gateways and an instance for stage work
     And s1 leaves, which only its answers say
     When callers post stage work until s1 has answered
@@ -81,9 +83,9 @@
     And all were refused as not run
     And no gateway takes another for silent
 
-  Scenario: An instance asks to be left alone for a while
+  Scenario: An instance asks callers to back off
     # Guards against requests for an instance that has refused one and said when
-    # it wants the next.
+    # it accepts the next.
     Given u1 refuses and wants nothing for 600 seconds
     When callers post to /safe/answer until u1 has answered
     And it is under suspicion no more
@@ -91,9 +93,9 @@
     Then u1 has got nothing since its answer
     And all were served
 
-  Scenario: Every instance of a pool asks to be left alone
-    # Guards against callers who wait for, or are sent back to, instances that
-    # have all said when they want the next request.
+  Scenario: Every instance of a pool asks callers to back off
+    # Guards against callers that wait for, or are told to retry too early at,
+    # instances that have all said when they accept the next request.
     Given u1 refuses and wants nothing for 600 seconds
     And u2 refuses and wants nothing for 60 seconds
     When callers post to /safe/answer until u1 has answered
@@ -102,8 +104,8 @@
     Then u1 has got nothing since its answer
     And all were refused as not run, for 59 to 90 seconds
 
-  Scenario: The time is over for which an instance wanted nothing
-    # Guards against an instance that is left out for good.
+  Scenario: The back-off time of an instance ends
+    # Guards against an instance that is left out permanently.
     Given u1 refuses and wants nothing for 0.2 seconds
     When callers post to /safe/answer until u1 has answered
     And u1 takes requests again and its time is over
--- a/tests/features/at_most_once.feature
+++ b/tests/features/at_most_once.feature
@@ -1,29 +1,29 @@
 @fixture.kingston
 Feature: A non-repeatable stage runs at most once
   Whatever fails between the caller and the ledger, a bale is recorded once,
-  and a caller who asks again with the same key gets the same answer.
+  and a caller that retries with the same key gets the same response.
 
-  Scenario: A repeat through another entry gets the same answer
-    # The answer was lost on its way to the caller, who asks again and meets
+  Scenario: A retry through another entry gets the same response
+    # The response is lost on its way to the caller, which retries through
     # another entry.
     When a request is answered and asked again through another entry
     Then both answers are the same and it is recorded once
 
-  Scenario: The same key at the same time through two entries
-    # An impatient caller sends twice at once; both entries find the key
-    # unused and both run all stages up to the ledger.
+  Scenario: The same key is used through two entries at the same time
+    # A caller sends a request twice at once; both entries find the key unused
+    # and both run all stages up to the ledger.
     When a request is sent through both entries at once
     Then both answers are the same and it is recorded once
 
-  Scenario: A key is used for another request
-    # A caller's program reuses a key by mistake; handing it the answer of the
-    # first request would cite another bale.
+  Scenario: A key is reused for another request
+    # A client reuses a key by mistake; returning the response of the first
+    # request would cite another bale.
     When a key is used again with other inputs
     Then it is refused as key_in_use
 
-  Scenario: The ledger's answer is lost after the entry was recorded
+  Scenario: The ledger's response is lost after the entry was recorded
     # The ledger records the entry and its connection breaks before the
-    # answer; nobody but the ledger knows.
+    # response, so only the ledger knows that the entry exists.
     Given the ledger loses its answers
     When a request is sent
     Then its outcome is unknown and it is recorded once
@@ -31,8 +31,8 @@
     When it is asked again
     Then its outcome is unknown and it is recorded once
 
-  Scenario Outline: The ledger's answer is <fault>
-    # The ledger has recorded the entry, and what it answers is worthless.
+  Scenario Outline: The ledger's response has the fault <fault>
+    # The ledger has recorded the entry, but its response is unusable.
     Given the ledger has the fault <fault>
     When a request is sent
     Then its outcome is unknown and it is recorded once
@@ -46,16 +46,16 @@
       | truncate |
 
   Scenario: The owner of a key is killed after it was recorded
-    # The sidecar that remembers the key dies and comes back empty; the caller
-    # asks again.
+    # The sidecar that stores the key is killed and restarts without it; the
+    # caller retries.
     When a request is answered
     And the owner of its key is killed and started again
     And it is asked again until it has a final answer
     Then its outcome is unknown and it is recorded once
 
-  Scenario: The owner of a key freezes past its lease and wakes up
-    # The owner is paused with a call in hand, a peer takes its keys over, the
-    # caller asks again, the owner wakes up and goes on.
+  Scenario: The owner of a key freezes past its lease and resumes
+    # The owner is paused with a call in progress, a peer takes over its keys,
+    # the caller retries, and the owner resumes its call.
     Given the ledger is slow
     When a request is sent and the owner of its key freezes meanwhile
     And the key has a new owner
@@ -64,9 +64,9 @@
     Then it is recorded at most once
     Given the ledger behaves
 
-  Scenario: The platform is away for longer than every lease
-    # Sidecars cannot renew their leases; they go on while each peer promises
-    # not to take over.
+  Scenario: The platform is unavailable for longer than every lease
+    # Sidecars cannot renew their leases; they continue as long as each peer
+    # promises not to take over.
     Given every range is with the member that should own it
     And the platform is down for three leases
     When 20 requests are sent
@@ -74,11 +74,11 @@
     Given the platform is back
     Then the books of all callers are clean
 
-  Scenario: The platform goes away in the middle of a hand-over of ranges
-    # A member that was frozen gets its ranges back.  The store falls silent
-    # after their records were handed over and before the change of owners is
-    # answered.  Nobody can tell whether it was made, so the ranges stay closed
-    # until the store answers: a key that ran meanwhile could run twice.
+  Scenario: The platform becomes unavailable during a handover of ranges
+    # A member that was frozen gets its ranges back.  The store stops responding
+    # after the records were handed over and before it confirms the change of
+    # owners.  Whether the change was made is unknown, so the ranges stay closed
+    # until the store responds: a key that ran meanwhile could run twice.
     Given the ledger is slow
     When a request is sent and the owner of its key freezes meanwhile
     And the key has a new owner
--- a/tests/features/configuration_checks.feature
+++ b/tests/features/configuration_checks.feature
@@ -1,4 +1,4 @@
-Feature: Configuration is checked before it is taken
+Feature: Configuration is checked before it is applied
 
   Scenario Outline: <id> is reported
     Given the configuration of kingston
