--- a/tests/features/crash_evidence.feature
+++ b/tests/features/crash_evidence.feature
@@ -1,15 +1,15 @@
 Feature: Evidence against requests that crash instances is weighed
 
-  Scenario: Requests that ran beside it are served again
-    # Guards against a judgement by crashes alone: whatever runs on an instance
-    # when it crashes has been in a crash, and most of it is harmless.
+  Scenario: Harmless requests that ran during a crash are served again
+    # Guards against a decision by crashes alone: every request that runs on an
+    # instance when it crashes has been in a crash, and most are harmless.
     Given a request that was running in 1 crashes
     When it ends well and is running in 1 further crashes
     Then it is not quarantined
 
-  Scenario: A quarantine ends by itself, and one more crash makes a longer one
-    # Guards against a false suspicion that stays, and against an instance lost
-    # for each end of a true one.
+  Scenario: A quarantine expires, and one more crash makes a longer one
+    # Guards against a false suspicion that stays permanently, and against the
+    # loss of an instance each time a justified quarantine expires.
     Given a request that was running in 2 crashes
     Then it is quarantined for 300 seconds
     When that time has passed
@@ -17,36 +17,36 @@
     When it is running in 1 further crashes
     Then it is quarantined for 600 seconds
 
-  Scenario: Gateways that hear of evidence in any order agree
-    # Guards against a gateway that lets a request in which others keep away,
-    # since a message was lost, came twice or overtook another.
+  Scenario: Gateways that receive evidence in any order agree
+    # Guards against a gateway that admits a request which others quarantine,
+    # because a message was lost, came twice or overtook another.
     Then any exchange of any evidence ends in one verdict of all gateways
 
-  Scenario: A gateway that starts again is told everything
-    # Guards against a gateway that knows nothing after its start and sends what
-    # all others keep away.
+  Scenario: A gateway that restarts receives all evidence
+    # Guards against a gateway that knows of no quarantine after its start and
+    # sends requests that all others hold back.
     Given a gateway that knows of 300 requests that are quarantined
     When a gateway asks it 3 times, starts again and asks 3 times
     Then it quarantines 300 requests
 
   Scenario: Memory for evidence is bounded, and a quarantine is dropped last
-    # Guards against callers who fill the memory with requests that were near a
-    # crash until a harmful one is forgotten.
+    # Guards against callers that fill the memory with requests that ran during
+    # a crash until a harmful request is forgotten.
     Given a memory for 10 requests, one of which is quarantined
     When 50 others have been running in a crash
     Then 10 are remembered, and the one is still quarantined
 
   Scenario: Old crashes are forgotten
-    # Guards against a memory that grows with each crash that a popular request
-    # was near, for as long as it is popular.
+    # Guards against memory that grows with each crash during which a popular
+    # request ran, for as long as the request is popular.
     Given a request that was running in 1 crashes
     When it ends well and is running in 1 further crashes
     And 3 hours have passed and another request was running in a crash
     Then only that one is remembered
 
   Scenario Outline: A connection breaks at an instance that <state>
-    # Guards against taking a cut answer, a reset link or a planned stop for a
-    # crash: harmless requests would be quarantined.
+    # Guards against taking a truncated response, a reset link or a planned stop
+    # for a crash: harmless requests would be quarantined.
     When a request loses its connection to an instance that <state>
     Then the request has been in <crashes> crashes
 
@@ -56,11 +56,12 @@
       | has ended               | 1       |
       | has ended after leaving | 0       |
 
-  Scenario: No organisation has another's requests taken for its own
-    # Guards against a firm whose requests get those of a rival quarantined.
+  Scenario: Requests of different organisations are never the same work
+    # Guards against an organisation whose requests get those of a competitor
+    # quarantined.
     Then requests are the same work only with one organisation, target and body
 
-  Scenario Outline: Harmful requests come at a fleet, <pattern>
+  Scenario Outline: Harmful requests reach a fleet: <pattern>
     # Guards against a limit that loses instances or refuses harmless callers:
     # the users allow three instances for each harmful request.
     When the fleet is played with <pattern>
--- a/tests/features/domain_drains.feature
+++ b/tests/features/domain_drains.feature
@@ -1,9 +1,9 @@
 @each.gateway
-Feature: Instances in a drained failure domain get nothing
+Feature: Instances in a drained failure domain get no requests
 
   Scenario Outline: The operators drain a failure domain with <value>
     # Guards against requests for instances of a domain that the operators have
-    # drained, whatever they have written beside its name.
+    # drained, whatever value they have stored under its name.
     Given u3 in failure domain two
     When domain two is drained with <value>
     And 30 requests go to /safe/answer
@@ -17,7 +17,7 @@
       | broken text       |
 
   Scenario: The drain ends
-    # Guards against instances that are left out for good.
+    # Guards against instances that are left out permanently.
     Given u3 in failure domain two
     When domain two is drained with nothing
     And domain two is restored
@@ -25,27 +25,27 @@
     Then u3 has got work
 
   Scenario: A domain without instances is drained
-    # Guards against a drain of one domain that is taken for one of all.
+    # Guards against a drain of one domain that is applied to all domains.
     When domain nowhere is drained with nothing
     And 10 requests go to /safe/answer
     Then each caller was served
 
   Scenario: Every failure domain is drained
-    # Guards against callers who wait for instances that may get nothing, and
-    # against a try at one of them since none else is left.
+    # Guards against callers that wait for instances of a drained domain, and
+    # against an attempt at such an instance because no other is left.
     When domain one is drained with nothing
     And 10 requests go to /safe/answer
     Then each caller was refused at once as not run
     And domain_drained was counted for each
     And nothing reached u1 or u2
 
-  Scenario: An answer is under way when its instance's domain is drained
-    # Guards against answers that are cut off by a drain.
+  Scenario: A stream is in flight when its instance's domain is drained
+    # Guards against responses that are cut off by a drain.
     When a stream is under way and domain one is drained
     Then the stream ends whole
 
-  Scenario: A stream breaks off in a drained domain
-    # Guards against streams that are resumed where nothing may be sent.
+  Scenario: A stream breaks in a drained domain
+    # Guards against streams that are resumed in a drained domain.
     Given u3 in failure domain two
     And domain one is drained with nothing
     When 5 requests go to /resumable/break
@@ -59,8 +59,8 @@
     And 30 requests go to /safe/answer at the new gateway
     Then u3 has got nothing
 
-  Scenario: The store goes away after a drain
-    # Guards against drains that end with the store's answers.
+  Scenario: The store becomes unavailable after a drain
+    # Guards against drains that end when the store stops responding.
     Given u3 in failure domain two
     When domain two is drained with nothing
     And the store falls silent
@@ -68,8 +68,8 @@
     Then u3 has got nothing
 
   Scenario: Stage work in a drained domain
-    # Guards against calls for pieces, and notes on their results, that still
-    # reach instances of a drained domain.
+    # Guards against calls for pieces, and notifications about their results,
+    # that still reach instances of a drained domain.
     Given two more gateways and an instance for stage work
     And s2 for stage work in failure domain two
     When domain two is drained with nothing
@@ -77,15 +77,16 @@
     Then each caller was served
     And nothing has reached s2
 
-  Scenario: Results lie in a domain that is drained
-    # Guards against notes on results that reach a drained domain: they are
-    # given up by their maker after a while.
+  Scenario: Results are stored in a domain that is drained
+    # Guards against notifications about results that reach a drained domain:
+    # their producer releases the results by itself after a while.
     Given two more gateways and an instance for stage work
     When domain one is drained at all gateways while its pieces are made
     Then no result was given up at s1
 
   Scenario: Every instance for stage work is drained
-    # Guards against requests that wait for pieces which nobody may make.
+    # Guards against requests that wait for pieces which no instance may
+    # process.
     Given two more gateways and an instance for stage work
     And the only instance for stage work is in failure domain two
     When domain two is drained with nothing
@@ -94,23 +95,23 @@
     And nothing has reached s2
 
   Scenario: Pieces wait when the domain of their instances is drained
-    # Guards against pieces that stay in a queue until their callers leave.
+    # Guards against pieces that stay queued until their callers disconnect.
     When pieces wait for a pool whose domain is drained
     Then they end at once as drained
 
-  Scenario: Entries lapsed in an outage, and their domain is drained at its end
-    # Guards against instances that are kept for entries which may come back,
-    # though nothing may be sent to their domain.
+  Scenario: Records lapse in an outage, and their domain is drained at its end
+    # Guards against instances that are kept because their records may be
+    # restored, although their domain may get no requests.
     When an instance lapses in an outage and its domain is drained
     Then no list gives it work until the drain ends
 
-  Scenario: A gateway that cannot read the store hears of a drain
-    # Guards against drains that only those know whom the store answers.
+  Scenario: A gateway that cannot read the store is notified of a drain
+    # Guards against drains that only gateways know to which the store responds.
     When a gateway tells another of a drain
     Then the other one gives the domain nothing
 
-  Scenario: Operators see what is drained and what warms up
-    # Guards against operators who cannot tell why a pool gets less work.
+  Scenario: Operators see what is drained and which instances warm up
+    # Guards against operators that cannot see why a pool gets less work.
     Given u3 in failure domain two
     And u1 warms up for 60 seconds, and bears 2 requests a second
     And a gateway that operators can ask
--- a/tests/features/door.feature
+++ b/tests/features/door.feature
@@ -1,6 +1,6 @@
 @fixture.kingston
-Feature: The door
-  Bad input gets a typed refusal that says truthfully that nothing was run.
+Feature: Validation of requests at the entry
+  Invalid input gets a typed refusal that correctly says that nothing was run.
 
   Scenario Outline: <what> is refused
     When a caller sends <what>
@@ -27,7 +27,7 @@
     When a caller sends a whole request
     Then its key appears in no log of any process
 
-  Scenario Outline: A stranger may not use <path>
+  Scenario Outline: A caller without credentials may not use <path>
     When a stranger calls <method> <path>
     Then the stranger is turned away
 
--- a/tests/features/grace_time.feature
+++ b/tests/features/grace_time.feature
@@ -2,7 +2,8 @@
 
   Scenario Outline: A machine is suspended while its process stops
     # Guards against requests that are cut when the platform kills a process
-    # whose clock stood still: it goes on serving in a time that is over.
+    # whose clock stood still in suspend: it would continue to serve although
+    # its grace time is over.
     When a process that serves a request without end stops and is suspended for <suspended_ms> ms, <after_ms> ms after it was asked to
     Then it has given the request up before its grace time was over
 
--- a/tests/features/graceful_stop.feature
+++ b/tests/features/graceful_stop.feature
@@ -1,10 +1,11 @@
 @fixture.riga
-Feature: Planned stops and leaving instances
-  A planned stop cuts no request, and who leaves gets no new work.
+Feature: Planned stops and instances that shut down
+  A planned stop interrupts no request, and an instance that shuts down gets no
+  new work.
 
   Scenario: Every sidecar of the ticketing pool is restarted under load
-    # A rolling restart moves the memory of keys along; a caller sees neither
-    # a cut connection nor an unknown outcome.
+    # A rolling restart hands over the stored keys; a caller sees neither a
+    # broken connection nor an unknown outcome.
     Given steady load
     When each instance of ticketing is stopped and started in turn
     Then no request was cut or unknown
@@ -16,14 +17,15 @@
     Then no request was cut or unknown
 
   Scenario: Both entries are restarted under load
-    # The balancer learns late that an entry stops and goes on sending to it.
+    # The balancer learns late that an entry stops and still sends requests to
+    # it.
     Given steady load
     When each instance of entry is stopped and started in turn
     Then no request was cut or unknown
     And the books of all callers are clean
 
-  Scenario: A leaving upstream gets no new work
-    # The platform says, late, that an instance leaves.
+  Scenario: An upstream that shuts down gets no new work
+    # The platform reports late that an instance shuts down.
     Given steady load
     When portal-0 is listed as leaving
     Then it soon gets no more calls while others do
--- a/tests/features/hop.feature
+++ b/tests/features/hop.feature
@@ -1,9 +1,9 @@
-Feature: One hop tells truthfully how it ended
-  Only what provably never left the caller is not_run.
+Feature: One hop reports its outcome correctly
+  Only a call that provably never left the caller is not_run.
 
   Scenario Outline: A sidecar <does> during a <kind> call
     # The connection between an entry and a sidecar breaks at one point; the
-    # entry must neither claim too much nor too little.
+    # entry must report neither more nor less than it can know.
     Given a sidecar that <does>
     When an entry sends it a <kind> call
     Then the attempt ended as <outcome> for <reason>
--- a/tests/features/instance_entries.feature
+++ b/tests/features/instance_entries.feature
@@ -1,10 +1,10 @@
-Feature: Entries of instances are taken as their writers left them
+Feature: Records of instances are validated and tied to an incarnation
 
   @fixture.log_lines
-  Scenario Outline: An entry that no instance wrote names none
-    # Anybody may write beside the instances.  Such an entry used to be filled
-    # up with defaults: requests were sent to an address where nothing listens,
-    # and failed in turn until it was suspect.
+  Scenario Outline: A record that no instance wrote is ignored
+    # Other writers may use the same prefix of the store.  Such a record used to
+    # be completed with defaults: requests were sent to an address where nothing
+    # listens, and failed one after the other until it was suspected.
     When an entry comes <change>
     Then it names no instance, and this is logged once
 
@@ -29,29 +29,29 @@
       | as an endless list             |
       | as nothing at all              |
 
-  Scenario: Whatever lies beside them, the entries of instances hold
+  Scenario: Any foreign value leaves the records of instances intact
     Then any bytes in one entry leave the others as they were
 
-  Scenario: An instance that starts again under its name is a new one
-    # A crashed instance is back two seconds later with its old name.  It was
-    # avoided for eight seconds for what its earlier incarnation had failed,
-    # and counted full of requests that had died with it.
+  Scenario: An instance that starts again under its name is a new incarnation
+    # A crashed instance is back two seconds later under its old name.  It was
+    # avoided for eight seconds for failures of its earlier incarnation, and
+    # counted as full of requests that had been lost with it.
     Given an instance that failed 4 times with 3 requests of ours running
     When a list shows that it has started again
     Then it is trusted and counted empty
     And the end of a request at its earlier incarnation changes nothing
 
-  Scenario: An instance that is listed as before is the same one
-    # A lapsed entry returns after an outage of the store with the same start.
+  Scenario: An instance that is listed as before is the same incarnation
+    # A lapsed record returns after an outage of the store with the same start.
     Given an instance that failed 4 times with 3 requests of ours running
     When a list shows it as before
     Then it is still avoided
 
   @fixture.gateway
-  Scenario: Calls and results of an earlier incarnation are given up
-    # An instance crashes behind a cut and starts again.  Its call hangs on a
-    # silent connection for six seconds, in which the new incarnation got no
-    # work, and results that are gone filled its space in the account.
+  Scenario: Calls and results of an earlier incarnation are released
+    # An instance crashes behind a network partition and restarts.  Its call
+    # hangs on an unresponsive connection for six seconds, in which the new
+    # incarnation got no work, and lost results filled its result space.
     Given a stage instance with a call that hangs and results that fill it
     When its entry shows a new start
     Then the call ends at once, its pieces are made by the new incarnation
--- a/tests/features/losses.feature
+++ b/tests/features/losses.feature
@@ -1,8 +1,9 @@
 Feature: Logs tell which requests were not served, and why
 
   Scenario: Each request that was not served has one cause
-    # After a bad day an operator has only logs.  Refusals, errors and callers
-    # that left stood in three kinds of lines; a broken stream has two.
+    # After an incident an operator has only logs.  Refusals, errors and callers
+    # that disconnected were logged in three kinds of lines; a broken stream has
+    # two.
     Given log lines of these ends of requests
       | event             | request | step   | reason          | peer | status |
       | request_ended     | a       | front  |                 |      | 200    |
@@ -32,13 +33,13 @@
     When an operator asks for the losses
     Then the pool has 3 calls of 3.0 pieces, 33.3% of them full
 
-  Scenario: An answer after the objective is late, and not lost
+  Scenario: A response after the objective is late, but not lost
     Given log lines of an answer 20 ms late and one 300 ms in time
     When an operator asks for the losses
     Then 0 of 2 requests were not served
     And 1 was late
 
-  Scenario: Lines of others, and names before a line, do no harm
+  Scenario: Foreign lines and prefixes of lines are tolerated
     Given a log line behind a time and a name, and lines that are no JSON
     When an operator asks for the losses
     Then 0 of 1 requests were not served
