--- a/tests/features/answer_notices.feature
+++ b/tests/features/answer_notices.feature
@@ -72,8 +72,8 @@
     Then s1 has got nothing since its answer
 
   Scenario: Every instance that produces pieces shuts down
-    # Guards against an unbounded wait for an empty pool: scheduler hosts would
-    # seem unresponsive, and their refusals could not be read.
+    # Guards against scheduler hosts that seem unresponsive and refusals that
+    # cannot be decoded because the estimated wait for an empty pool is infinite.
     Given two more gateways and an instance for stage work
     And s1 leaves, which only its answers say
     When callers post stage work until s1 has answered
--- a/tests/features/door.feature
+++ b/tests/features/door.feature
@@ -1,5 +1,5 @@
 @fixture.kingston
-Feature: Validation of requests at the entry
+Feature: Validation and authentication of requests
   Invalid input gets a typed refusal that correctly says that nothing was run.
 
   Scenario Outline: <what> is refused
@@ -27,7 +27,7 @@
     When a caller sends a whole request
     Then its key appears in no log of any process
 
-  Scenario Outline: A caller without credentials may not use <path>
+  Scenario Outline: A caller with invalid keys may not use <path>
     When a stranger calls <method> <path>
     Then the stranger is turned away
 
--- a/tests/features/gateway.feature
+++ b/tests/features/gateway.feature
@@ -94,7 +94,7 @@
     When a caller waits 300 ms for /unsafe/wait
     Then it gets status 504 and the request has run 1 times
 
-  Scenario: An instance that announces its shutdown gets no new work
+  Scenario: An instance that reports its shutdown gets no new work
     Given instance u1 announces that it leaves
     When the list has been read
     And 20 callers post to /safe/answer
--- a/tests/features/late_service.feature
+++ b/tests/features/late_service.feature
@@ -41,8 +41,8 @@
     Then its turn comes at 900 ms
 
   Scenario: Serving late loses fewer requests and attains no less worth
-    # Simulates bursts and the loss of an instance with the serving code, on
-    # three days each of the calm load profile of the first users.
+    # Simulates bursts and the loss of an instance with the serving code, three
+    # days each, on the load profile of the first users' calm day.
     When the model plays bursts and the loss of an instance with deferral and without
     Then at most half as many requests are unserved with it
     And no less of the worth is attained
