--- a/tests/features/answer_notices.feature
+++ b/tests/features/answer_notices.feature
@@ -73,7 +73,7 @@
 
   Scenario: Every instance that produces pieces shuts down
     # Guards against scheduler hosts that seem unresponsive and refusals that
-    # cannot be decoded because the estimated wait for an empty pool is infinite.
+    # cannot be decoded, since the estimated wait for an empty pool is infinite.
     Given two more gateways and an instance for stage work
     And s1 leaves, which only its answers say
     When callers post stage work until s1 has answered
--- a/tests/features/gateway.feature
+++ b/tests/features/gateway.feature
@@ -1,7 +1,7 @@
 @each.gateway
 Feature: A gateway forwards requests and reports their outcomes correctly
 
-  Scenario Outline: A request that may not be repeated meets an upstream that <does>
+  Scenario Outline: A non-repeatable request meets an upstream that <does>
     # A custody entry must not be recorded twice: once the request has been
     # handed over it must not be retried, whatever happens, and no response may
     # claim that it has not run.
