--- a/tests/features/lost_calls.feature
+++ b/tests/features/lost_calls.feature
@@ -1,72 +1,74 @@
-Feature: Instances and their space are not left idle for calls and callers that are gone
+Feature: Lost calls and terminated callers do not occupy instances or space
 
-  Scenario: A call whose answer is lost is found by asking its instance
-    # An answer is lost and its connection stays open.  The instance was taken
-    # for busy until the call's timeout, six seconds later: two lost answers
-    # left a pool of three instances with one, and its queue grew to eighty.
+  Scenario: A call whose response is lost is found by polling its instance
+    # A response is lost while its connection stays open. The instance was
+    # considered busy until the call's timeout six seconds later: two lost
+    # responses left a pool of three instances with one, and its queue grew to
+    # eighty.
     Given a call that is overdue
     When its instance says that it works on nothing
     Then the call is given up as lost
 
-  Scenario: A call that its instance works on is slow, not lost
+  Scenario: A call that its instance still works on is slow, not lost
     Given a call that is overdue
     When its instance says that it works
     Then the call is noted as slow once and ends with its answer
 
-  Scenario: An instance that does not say keeps its call
+  Scenario: An instance that does not report its state keeps its call
     Given a call that is overdue
     When its instance does not say
     Then the call is noted as slow once and ends with its answer
 
-  Scenario: An instance whose answer was lost is not under suspicion
-    # The network lost the answer.  What the instance made takes space there
-    # under names that nobody knows, until it expires.
+  Scenario: An instance whose response was lost is not suspected
+    # The network lost the response. The results that the instance made take
+    # space there until they expire, under names that no gateway knows.
     When the answer to a call of 2 pieces is lost
     Then its instance is trusted, its pieces wait again
     And its space counts 2 results more
 
-  Scenario: What requests of a killed gateway hold is given up
-    # A gateway is killed while its requests hold results of 1.5 MB.  They kept
-    # their makers half idle for four seconds, in which its callers came back
-    # to the other gateways.
+  Scenario: Results that requests of a killed gateway use are released
+    # A gateway is killed while its requests use results of 1.5 MB. For four
+    # seconds these results left their producers half idle, while the callers
+    # retried at the other gateways.
     Given a gateway with 2 results of its requests at this host
     When another process of its name pings this host
     Then its results are given up and its pieces are wanted no more
 
-  Scenario: A gateway that falls silent is gone, one that pings is not
+  Scenario: A gateway is terminated once it stops pinging
     Given a gateway with 2 results of its requests at this host
     Then it counts as gone only after more than a second of silence
 
-  Scenario: A new host is told what requests hold, and only once
-    # The host of a gate is killed.  Its successor knew of no results: it sent
-    # pieces into space that was taken until the retry budget was spent.
+  Scenario: A new host learns once which results are in use
+    # The host of a scheduler is killed. Its successor knew of no results and
+    # sent pieces to instances without free space until the retry budget was
+    # spent.
     Given results of which 2 of 3 are still held
     When the gate has another host
     Then that host is told of 2 results, and of none the next time
 
-  Scenario: Near pieces go first in a long queue
-    # By due time alone each call took pieces of all domains, and results were
-    # read in another one two times in three.
+  Scenario: Local pieces go first in a long queue
+    # Ordered by due time alone, each call carried pieces of all domains, and
+    # two results in three were read in another domain.
     Given 2 instances in two domains with calls of 4 pieces
     When 8 pieces of both domains wait, those of each due in turn
     Then each call carries the pieces of its own domain
 
-  Scenario: A piece that cannot be in time near its reader goes by its due time
+  Scenario: A piece that would be late near its consumer goes by its due time
     Given 2 instances in two domains with calls of 4 pieces
     When the near instance is busy and a piece for it is due at once
     Then the other instance makes it first
 
-  Scenario: A loop that the gateway cannot do without ends by an error
-    # A gateway whose loop that follows the store had ended served an old
-    # configuration for ten seconds, and would have for ever: its log had one
-    # line of it, and all else went on.
+  Scenario: A gateway shuts down when an essential loop ends with an error
+    # A gateway whose loop that polls the store had failed served an old
+    # configuration for ten seconds, and would have done so indefinitely:
+    # everything else continued, and the log had a single line about it.
     When the loop of a gateway that follows the store ends by an error
     Then the gateway asks to be stopped
 
-  Scenario: A gateway that knows no instances hosts no gate
-    # A gateway is back while the store is away.  It answered pings, so that
-    # the others gave it their gates: pieces waited there for two seconds, 114
-    # of them, with the pool's instances idle.
+  Scenario: A gateway that knows no instances hosts no scheduler
+    # A gateway restarts while the store is unavailable. It answered pings, so
+    # the other gateways handed it their schedulers: 114 pieces waited there for
+    # two seconds while the pool's instances were idle.
     Given members of which the first in rank for a pool answers
     When it says that it knows no instances
     Then the next in rank hosts the gate
--- a/tests/features/named_limits.feature
+++ b/tests/features/named_limits.feature
@@ -1,7 +1,7 @@
-Feature: Instances that name a rate limit get no more
+Feature: Instances that advertise a rate limit get no more than it allows
 
   @each.gateway
-  Scenario Outline: An instance names a limit in <what>
+  Scenario Outline: An instance advertises a limit in <what>
     # Guards against a limit that is not read: requests followed the load of the
     # pool, however low the limit was.
     Given two more gateways and an instance for stage work
@@ -19,8 +19,9 @@
       | a stream's head | /stream/stream |
 
   @each.gateway
-  Scenario: An answer names no limit any more
-    # Guards against an instance that is left with little after its need is over.
+  Scenario: A response no longer advertises a limit
+    # Guards against an instance that gets few requests after it has lifted its
+    # limit.
     Given u1 names a limit of 2 requests a second
     And the gateway has been a member for long enough to send
     When callers post to /safe/answer until u1 has answered
@@ -29,8 +30,9 @@
     Then the limit of u1 is none, and it is logged as named
 
   @each.gateway
-  Scenario: An instance starts again after it has named a limit
-    # Guards against a limit that is held against another start of an instance.
+  Scenario: An instance restarts after it has advertised a limit
+    # Guards against a limit that is applied to another incarnation of an
+    # instance.
     Given u1 names a limit of 0.2 requests a second
     When callers post to /safe/answer until u1 has answered
     And u1 has started again and is listed
@@ -38,9 +40,9 @@
     Then u1 has got work since its answer
 
   @each.gateway
-  Scenario: Every instance of a pool has got what it takes
-    # Guards against callers who wait for their turn at instances that have got
-    # what they take, and are not told when to come back.
+  Scenario: Every instance of a pool has reached its limit
+    # Guards against callers that are queued for instances which have reached
+    # their limit, without being told when to retry.
     Given u1 names a limit of 0.2 requests a second
     And u2 names a limit of 0.2 requests a second
     When callers post to /safe/answer until u1 has answered
@@ -50,8 +52,9 @@
     And u1 has got nothing since its answer
 
   @each.gateway
-  Scenario: An instance warms up and names a limit at once
-    # Guards against one bound that is kept instead of the lower one.
+  Scenario: An instance warms up and advertises a limit at the same time
+    # Guards against applying only one of the two bounds instead of the lower
+    # one.
     Given u1 and u2 warm up for 60 seconds, and bear 2 requests a second
     And u1 names a limit of 0.2 requests a second
     When callers post to /safe/answer until u1 has answered
@@ -60,9 +63,9 @@
     And neither u1 nor u2 got more than 2 requests
 
   @each.gateway
-  Scenario: An instance names a limit that makes pieces
-    # Guards against calls for pieces, notes of results to be given up and
-    # questions that each reach an instance beside its limit.
+  Scenario: An instance that makes pieces advertises a limit
+    # Guards against calls for pieces, release requests for results and status
+    # polls that each reach an instance in addition to its limit.
     Given two more gateways and an instance for stage work
     And s1 names a limit of 1 request a second
     When callers post stage work until s1 has answered
@@ -72,9 +75,9 @@
     And all results are given up
 
   @each.gateway
-  Scenario Outline: An instance names <text> as its limit
-    # Guards against a limit that is taken for none, or for any number, since it
-    # cannot be read.
+  Scenario Outline: An instance advertises <text> as its limit
+    # Guards against an unreadable limit that is taken for no limit or for an
+    # arbitrary number.
     Given u1 answers with a limit of <text>
     When callers post to /safe/answer until u1 has answered
     Then the limit of u1 is <limit>, and it is <logged>
@@ -92,7 +95,7 @@
       | many    | none  | logged as unreadable  |
 
   @each.gateway
-  Scenario: Operators see who takes less
+  Scenario: Operators see which instances get less work
     # Guards against operators who cannot tell why an instance gets less work.
     Given a gateway that operators can ask
     And u1 names a limit of 2.5 requests a second
@@ -101,8 +104,8 @@
     Then it says that u1 takes 2.5 a second
 
   Scenario Outline: <gateways> gateways share a limit of <limit>
-    # Guards against a sum that nobody keeps, and against a limit of which the
-    # instance gets next to nothing.
+    # Guards against gateways that together exceed the limit, and against a
+    # limit of which the instance gets next to nothing.
     When <gateways> gateways send to a pool that names limits of <limit>, and <what>
     Then no instance gets more than its limit allows
     And the pool gets at least <part> of what it takes
@@ -121,8 +124,8 @@
       | 21       | 6     | a cut parts them | 0.5  |
       | 68       | 20    | a cut parts them | 0.5  |
 
-  Scenario Outline: A wrong way of sharing a limit is noticed
-    # Guards against a check that would pass without what it checks.
+  Scenario Outline: A faulty way of sharing a limit is detected
+    # Guards against a check of the shared limit that cannot fail.
     When 21 gateways send <variant> to a pool that names limits of 6
     Then some instance gets more than its limit allows
 
@@ -132,21 +135,20 @@
       | equal share              |
       | without a time to settle |
 
-  Scenario: Answers come in any order, from the instance and from others
-    # Guards against an older answer that ends a limit or raises it.
+  Scenario: Responses arrive in any order, from the instance and from gateways
+    # Guards against an older response that ends a limit or raises it.
     Then a higher limit is believed only after an answer that is younger for certain
 
-  Scenario: What a gateway has told comes back to it
-    # Guards against a limit that is kept young, or kept from ending, by its own
-    # echo.
+  Scenario: A gateway receives its own limit update back
+    # Guards against a limit that its own echo keeps fresh or keeps from ending.
     Then the echo changes nothing
 
-  Scenario: Limits of more instances than a message holds have changed
-    # Guards against limits that are never told, and messages that grow with the
-    # fleet.
+  Scenario: More limits have changed than one message holds
+    # Guards against limits that are never sent to the other gateways, and
+    # against messages that grow with the fleet.
     Then each is told in turn, those that have changed first
 
-  Scenario: Nobody asks an instance that has named a limit
-    # Guards against a limit that holds for good since those who may send have no
-    # callers.
+  Scenario: An instance that has advertised a limit gets no requests
+    # Guards against a limit that stays permanently because the gateways that
+    # may send have no callers.
     Then it ends some time after the last answer
--- a/tests/features/quarantine.feature
+++ b/tests/features/quarantine.feature
@@ -1,11 +1,11 @@
 @each.gateway
-Feature: A request that crashes what runs it is quarantined from the rest
+Feature: A request that crashes the instances it runs on is quarantined
 
-  Scenario Outline: The same <kind> request comes again at every gateway
-    # Guards against a request that crashes each engine which begins to run it:
-    # its caller sent it again and again, at any gateway, and engines ended one
-    # after the other, with every stream that they served.  Each try was a
-    # new request to the gateway that took it, and only the instance was avoided.
+  Scenario Outline: The same <kind> request is retried at every gateway
+    # Guards against a request that crashes each engine that starts to run it.
+    # Its caller retried it at any gateway, and engines crashed one after the
+    # other with every stream that they served: each try was a new request to
+    # its gateway, and only the instance was avoided.
     Given two more gateways and an instance for stage work
     And instances that crash come back under another name
     When a caller posts to /<path> 8 times, at each gateway in turn
@@ -18,17 +18,17 @@
       | plain     | safe/crash      |
       | streaming | resumable/crash |
 
-  Scenario: The same request comes again whose stage work crashes instances
-    # Guards against the same fault before a request runs: each piece that ended
-    # its instance was tried at two others, and again with each try of its
-    # caller.
+  Scenario: A request whose stage work crashes instances is retried
+    # Guards against the same fault before a request runs: each piece that
+    # crashed its instance was retried at two others, and again with each retry
+    # of its caller.
     Given two more gateways and an instance for stage work
     And instances for stage work that crash come back under another name
     When a caller posts 8 times to /staged/answer with pieces that crash
     Then no more than 3 instances have crashed
 
-  Scenario: An operator lets a request in again
-    # Guards against a harmless caller who is refused for minutes while the
+  Scenario: An operator releases a request
+    # Guards against a harmless caller that is refused for minutes while the
     # operators can only watch.
     Given two more gateways and an instance for stage work
     And instances that crash come back under another name
@@ -38,9 +38,9 @@
     When they have it released
     Then it is quarantined at no gateway
 
-  Scenario: All gateways end at once and start again
-    # Guards against evidence that ends with the gateways: a harmful request
-    # would crash as many instances again.
+  Scenario: All gateways are killed and restarted
+    # Guards against crash evidence that is lost with the gateways: a harmful
+    # request would crash as many instances again.
     Given two more gateways and an instance for stage work
     And instances that crash come back under another name
     When a caller posts to /safe/crash 3 times, at each gateway in turn
@@ -50,8 +50,8 @@
     Then no more than 3 instances have crashed
 
   Scenario: An operator's release reaches the store
-    # Guards against a request that is quarantined again after a restart, although
-    # it was let in.
+    # Guards against a request that is quarantined again after a restart
+    # although an operator has released it.
     Given two more gateways and an instance for stage work
     And instances that crash come back under another name
     And a gateway that operators can ask
@@ -62,9 +62,9 @@
     Then the store holds 0 records of requests that are quarantined
 
   Scenario Outline: A popular <kind> request runs beside the harmful one
-    # Guards against callers of a harmless request who are refused for minutes,
-    # since it was running each time that an instance crashed: that it ends well
-    # in between has to release it at all gateways.
+    # Guards against callers of a harmless request being refused for minutes
+    # because it was running at each crash of an instance. A successful run in
+    # between has to release it at all gateways.
     Given two more gateways and an instance for stage work
     And one instance at a time for <pool> work
     When a harmful request crashes it 3 times while a popular one to <path> runs there
