--- a/tests/features/lost_calls.feature
+++ b/tests/features/lost_calls.feature
@@ -34,7 +34,7 @@
     When another process of its name pings this host
     Then its results are given up and its pieces are wanted no more
 
-  Scenario: A gateway is terminated once it stops pinging
+  Scenario: A gateway counts as terminated only after it stops pinging
     Given a gateway with 2 results of its requests at this host
     Then it counts as gone only after more than a second of silence
 
--- a/tests/features/once_ownership.feature
+++ b/tests/features/once_ownership.feature
@@ -1,18 +1,19 @@
 Feature: Ownership of idempotency keys
-  A caller that repeats a request must never cause its effect twice, whatever
-  happened to the process that ran it first.
+  A repeated request must never cause its effect twice, whatever happened to the
+  process that ran it first.
 
   Scenario: No order of events runs a key twice
-    # A caller sees one custody entry recorded twice: sidecars crash, freeze
-    # and lose the platform in any order, and two of them believe that they
-    # own a key. Hypothesis explores the orders.
+    # A caller's custody entry was recorded twice: sidecars crash, freeze and
+    # lose the platform in any order until two of them consider themselves the
+    # owner of a key. Hypothesis explores the orders.
     Given the protocol with all its guards
     When 120 random orders of events are explored
     Then no key has run twice
 
-  Scenario: The exploration finds a key that runs twice without birth times
-    # The owner of a key records an entry and is killed; its successor knows
-    # nothing of it. Without the time of birth it would run the repeat.
+  Scenario: The exploration finds a double run if key creation is unchecked
+    # The owner of a key records an entry and is killed; its successor has no
+    # memory of it. Unless the successor compares the key's creation time with
+    # the start of its own ownership, it runs the repeated request.
     Given the protocol without checks_birth
     When 400 random orders of events are explored
     Then a key has run twice
@@ -38,25 +39,27 @@
       | without checks_birth     | the owner of a key is killed          | a key has run twice | The successor runs the repeat.                   |
       | with all its guards      | the owner of a key is killed          | no key has run twice| The successor says that it cannot know.          |
 
-  Scenario: A frozen owner wakes up after its successor has begun
-    # A sidecar decides to run a key and is frozen before the hand-over. Its
-    # lease lapses, a peer takes over, the caller asks again. Then it wakes.
+  Scenario: A frozen owner resumes after its successor has taken over
+    # A sidecar decides to run a key and is frozen before it forwards the
+    # request. Its lease expires, a peer takes over and the caller retries. Then
+    # the sidecar resumes.
     Given the protocol with all its guards
     When an owner freezes between its decision and the hand-over
     Then no key has run twice
 
-  Scenario: A write whose answer was lost takes effect late
-    # An owner hands ranges over, the answer to its write is lost and the
-    # write is still on its way. If it ran a key of these ranges meanwhile,
-    # the next owner would not know.
+  Scenario: A write whose response was lost takes effect late
+    # An owner hands ranges over, and the response to its write is lost while
+    # the write is still in transit. If the owner ran a key of these ranges
+    # meanwhile, the next owner would not know of it.
     Given an owner whose hand-over is still on its way
     When the owner is asked for keys of these ranges
     Then it refuses them until the record has changed
 
-  Scenario: The platform goes away while members know different records
-    # A peer has just rejoined, not everybody has read of it, and the platform
-    # goes away. Each refused the other's promise, since their records
-    # differed, and every key of the pool was refused until it came back.
+  Scenario: The platform is unavailable while members know different records
+    # A peer has just rejoined and not every member has read its record when the
+    # platform becomes unavailable. Each member refused the other's promise
+    # because their records differed, and every key of the pool was refused
+    # until the platform was available again.
     Given members that know different records
     When the platform is away for long
     Then each of them is still certain of its keys
--- a/tests/features/pieces.feature
+++ b/tests/features/pieces.feature
@@ -65,7 +65,7 @@
     When pieces that have missed their objective by a second wait
     Then the one without work is given up and the one with inputs is not
 
-  Scenario: Any sequence of pieces, calls, releases and failures keeps count
+  Scenario: The accounting is right after any pieces, calls, releases, failures
     # Model check: no piece is in two calls at once, none is lost, no call is
     # larger than allowed, and no instance gets more results than it has
     # space for.
@@ -139,7 +139,7 @@
 
   Scenario Outline: A call reports why it carries no more pieces
     # Calls ran half empty while pieces waited, and no log said whether the
-    # cause was space, unsplit stages or a wait for a local instance.
+    # cause was space, stages kept whole or a wait for a local instance.
     Given a pool of 1 instance with calls of 4 pieces
     And space for <results> results at each instance
     When <count> requests bring 1 piece each
--- a/tests/features/settings.feature
+++ b/tests/features/settings.feature
@@ -1,6 +1,6 @@
 Feature: Settings are checked before anything starts
 
-  Scenario Outline: <what> ends the daemon with one clear line
+  Scenario Outline: <what> stops the daemon with one clear line
     When ragworthd is started with <what>
     Then it ends with exit code 2 and one line with <id> and <words>
 
--- a/tests/features/store_bounds.feature
+++ b/tests/features/store_bounds.feature
@@ -1,30 +1,30 @@
-Feature: What the store accepts is in force within its bound
+Feature: Changes that the store accepts are active within a time bound
 
-  Scenario: One call in a row is lost
-    # The connection to the store falls silent right before the operators take
-    # a key away.  The caller that holds it would be served for as long as the
-    # gateway waits for the lost call and then for its next turn.
+  Scenario: One poll of a series is lost
+    # The connection to the store stops responding right before the operators
+    # revoke a key. The caller that holds the key would be served while the
+    # gateway waits for the lost call and then for its next poll.
     Given polls that are answered in 4 ms and one of which is lost
     When a change is accepted at any moment
     Then it is read within 1300 ms
 
-  Scenario: A store that was away for any time
-    # Calls that are refused are counted too, so that tries become rarer in an
-    # outage; they must not become so rare that its end is noticed late.
+  Scenario: The store was unavailable for any length of time
+    # Refused calls are counted too, so that polls become rarer in an outage;
+    # they must not become so rare that its end is noticed late.
     Given polls that are answered in 4 ms during an outage of any length
     When a change is accepted at any moment
     Then it is read within 1300 ms of the end of the outage
 
   Scenario: The store is slow
-    # Sixty times its usual 4 ms: calls take 240 ms and are not given up.
+    # Calls take 240 ms, sixty times the usual 4 ms, and are not cancelled.
     Given polls that are answered in 240 ms during an outage of any length
     When a change is accepted at any moment
     Then it is read within 1300 ms of the end of the outage
 
-  Scenario Outline: A large configuration behind a thin link
-    # Routes that the operators had added were "not found" at gateways with
-    # links of 5 Mbit/s: nothing but a read of everything told of changes, and
-    # it took longer than it was waited for.
+  Scenario Outline: A large configuration behind a slow link
+    # Gateways with links of 5 Mbit/s answered "not found" on routes that the
+    # operators had added: only a full read reported changes, and it took longer
+    # than its timeout.
     Given a configuration of <size_kb> kB, a link of 5 Mbit/s and one lost call
     When it changes at any moment
     Then it is in force within 3000 ms
@@ -34,17 +34,18 @@
       | 290     |
       | 580     |
 
-  Scenario: Watches are silent while the store answers reads
-    # An instance left in the second in which the store's watches were silent,
-    # before its history was dropped; it got work until they were back.
+  Scenario: Watches report nothing while the store answers reads
+    # An instance left in the second in which the store's watches reported
+    # nothing, before the watch history was dropped; it got requests until the
+    # watches worked again.
     Given a store whose watches fall silent at any moment
     When a change is accepted at any moment after that
     Then it is in force within 1300 ms
 
   Scenario Outline: An instance leaves some time after an outage
-    # Entries that lapsed in an outage are kept for a while after its end.  One
-    # that leaves later must not be taken for one of them: it would get requests
-    # until that time is over again.
+    # Records that expired in an outage are kept for a while after its end. An
+    # instance that leaves later must not be mistaken for one of them: it would
+    # get requests until that time has passed again.
     Given a bound of <bound> ms and an outage of any length
     When an instance leaves at any moment from 3000 ms after its end on
     Then it gets nothing <seen> ms later
@@ -54,9 +55,10 @@
       | 2000  | 1300 |
       | 4000  | 2600 |
 
-  Scenario Outline: Entries lapse in an outage and come back
-    # The store's leases had run out while it was away.  Instances that lived
-    # were dropped, and requests refused, until they had written themselves anew.
+  Scenario Outline: Records expire in an outage and are written again
+    # The store's leases had expired while it was unavailable. Live instances
+    # were dropped, and requests refused, until the instances had written their
+    # records again.
     Given a bound of <bound> ms and an outage of any length
     When the entries of live instances lapse in it and are back 1000 ms after its end
     Then none is ever dropped
--- a/tests/features/store_restored.feature
+++ b/tests/features/store_restored.feature
@@ -1,9 +1,9 @@
-Feature: The store comes back from a copy
+Feature: The store is restored from a backup
 
   @each.gateway
-  Scenario: A configuration is accepted after the store has come back
-    # Guards against a gateway that takes what is newer for older: a store that
-    # comes back from a copy gives its revisions out again.
+  Scenario: A configuration is accepted after the store was restored
+    # Guards against a gateway that takes newer states for older ones: a store
+    # that is restored from a backup issues its revisions again.
     Given the store was copied, and has gone on for 20 revisions
     When the store comes back from its copy
     And the operators write version 5 without the route of /safe/
@@ -11,9 +11,9 @@
     And a caller of /safe/answer is answered 404
 
   @each.gateway
-  Scenario: A version is lost that was in force
-    # Guards against a change that is undone until the operators write it again: a
-    # key that was revoked would be taken again.
+  Scenario: A version that was active is lost
+    # Guards against a change that is reverted until the operators write it
+    # again: a revoked key would be accepted again.
     Given the store was copied, and has gone on for 20 revisions
     And the operators wrote version 5 without the route of /safe/
     When the store comes back from its copy
@@ -26,8 +26,8 @@
 
   @each.gateway
   Scenario: A drain is lost, and ended after it was written again
-    # Guards against work for a drained failure domain, and against a drain that
-    # never ends.
+    # Guards against requests to a drained failure domain, and against a drain
+    # that never ends.
     Given the store was copied, and has gone on for 20 revisions
     And failure domain one was drained
     When the store comes back from its copy
@@ -37,9 +37,9 @@
     Then a caller of /safe/answer is answered 200 soon
 
   @each.gateway
-  Scenario: An instance leaves, and its entry of before comes back
-    # Guards against work for an instance that leaves, since the copy lists it as
-    # ready.
+  Scenario: An instance leaves, and its previous record is restored
+    # Guards against requests to an instance that is shutting down, since the
+    # backup lists it as ready.
     Given the store was copied, and has gone on for 20 revisions
     And the entry of u1 has said that it leaves
     When the store comes back from its copy
@@ -47,8 +47,8 @@
     Then u1 gets nothing of 20 requests
 
   @each.gateway
-  Scenario: An instance is gone, and its entry of before comes back
-    # Guards against work for an instance that has ended.
+  Scenario: An instance has terminated, and its previous record is restored
+    # Guards against requests to an instance that has terminated.
     Given the store was copied, and has gone on for 20 revisions
     And the entry of u1 was removed
     When the store comes back from its copy
@@ -59,8 +59,8 @@
 
   @each.gateway
   Scenario: A gateway starts before the operators have written again
-    # Guards against a gateway that knows nothing but the copy, and serves what
-    # was revoked.
+    # Guards against a gateway that knows only the backup and serves what was
+    # revoked.
     Given the store was copied, and has gone on for 20 revisions
     And the operators wrote version 5 without the route of /safe/
     When the store comes back from its copy
@@ -70,40 +70,44 @@
     And a caller of /safe/answer is answered 404 there
 
   @each.gateway
-  Scenario: The entry of a gateway is lost
-    # Guards against a gateway that the others do not know until its lease ends.
+  Scenario: The record of a gateway is lost
+    # Guards against a gateway that stays unknown to the others until its lease
+    # expires.
     Given the store was copied, and has gone on for 20 revisions
     And another gateway has started and is registered
     When the store comes back from its copy
     Then the other gateway is in the store again
 
   @each.gateway
-  Scenario: A key is compared with what was read before the restoration
-    # Guards against a write over another one that was given the same revision.
+  Scenario: A key is compared with what was read before the restore
+    # Guards against overwriting another write that was given the same revision.
     When a key is read, lost and written anew under the same revision
     Then a write that compares it with what was read is not made
 
-  Scenario: Those who wrote a key never write it again
-    # Guards against a key that is held for good although nobody wants it.
+  Scenario: The processes that wrote a key never write it again
+    # Guards against a key that is kept permanently although no process needs
+    # it.
     Then a lost key holds for a while, and a version until the store has caught up
 
-  Scenario: Rights are granted before and after a restoration
-    # Guards against a holder whose orders are refused as those of an earlier one.
+  Scenario: Rights are granted before and after the store is restored
+    # Guards against a holder whose commands are refused as those of an earlier
+    # holder.
     Then a later right has the higher fencing number
 
-  Scenario: The store is written, silent and restored in any order
-    # Guards against a copy that holds some of a state that is gone.
+  Scenario: The store is written, unresponsive and restored in any order
+    # Guards against a replica that keeps parts of a state that no longer
+    # exists.
     When a store is written, copied, restored and silent in any order
     Then the gateway holds what the store holds after each poll that is answered
 
-  Scenario: Gateways of both timelines read, ask and hear in any order
-    # Guards against a gateway that does not know of the restoration and takes the
-    # others back, and against a version that is undone.
+  Scenario: Gateways of both restore counts exchange updates in any order
+    # Guards against a gateway that does not know that the store was restored
+    # and reverts the others, and against a version that is undone.
     When the store is restored while gateways read, ask and hear in any order
     Then each copy is a state of the store, and no version is undone
 
-  Scenario Outline: Variants that are wrong about a restoration are found out
-    # Guards against a check that would pass without what it checks.
+  Scenario Outline: Faulty handling of a restored store is detected
+    # Guards against a check of the scenario above that cannot fail.
     When the store is restored under gateways that <fault>
     Then a copy is no state of the store, or a version is undone
 
--- a/tests/features/store_view.feature
+++ b/tests/features/store_view.feature
@@ -1,14 +1,14 @@
-Feature: What a gateway knows of the store is what the store holds
+Feature: A gateway's replica matches the store
 
-  Scenario: Watches hear nothing and their history is dropped
-    # An instance that left went on getting requests.  The store's watches had
-    # heard nothing for a second, and its history was dropped after that; the
-    # gateway had stepped over the silence, since each empty answer gave the
-    # revision of a store that went on.
+  Scenario: Watches report nothing and their history is dropped
+    # An instance that had left still got requests. The store's watches had
+    # reported nothing for a second, and their history was dropped after that.
+    # The gateway had skipped that second, since each empty response gave the
+    # current revision of a store that was still being written.
     When a store is written, falls silent and drops its history in any order
     Then the gateway's copy is the store's after each poll that is answered
 
-  Scenario: A copy that trusts the revision of an empty answer goes wrong
-    # Keeps the scenario above honest: the same writes have to show it.
+  Scenario: A replica that trusts the revision of an empty response diverges
+    # Verifies the scenario above: the same writes must expose the fault.
     When a gateway that goes on from the revision of each answer follows them
     Then its copy differs from the store's
--- a/tests/features/thin_links.feature
+++ b/tests/features/thin_links.feature
@@ -1,53 +1,54 @@
 @each.gateway
-Feature: Behind a thin link
+Feature: Gateways and processes behind slow links
 
-  Scenario: A configuration takes longer to come than a small answer may
+  Scenario: A configuration transfers for longer than a small response may take
     # Callers of 14 of 20 gateways got "not found" on routes added a minute
-    # before, and were served on routes taken away.  The configuration had
-    # grown to 350 KB, which 5 Mbit/s carry in 560 ms; each call was given up
-    # after 450 ms although bytes were coming, and the next one began anew.
+    # before, and were served on removed routes. The configuration had grown to
+    # 350 KB, which takes 560 ms at 5 Mbit/s; each call was cancelled after 450
+    # ms although bytes were arriving, and the next call started from the
+    # beginning.
     Given a store behind a link of 5 Mbit/s
     When the operators add 1400 routes
     And the operators add a route for /new/
     Then the gateway serves /new/answer within its bound
 
-  Scenario: An instance leaves beside a large configuration
-    # The list of instances comes with the same call.  An instance that left
-    # after the configuration had grown got requests until it was gone, and
-    # one that came got none.
+  Scenario: An instance leaves while the configuration is large
+    # The list of instances is read by the same call. An instance that left
+    # after the configuration had grown got requests until it had terminated,
+    # and a new instance got none.
     Given a store behind a link of 5 Mbit/s
     When the operators add 1400 routes
     And instance u2 leaves
     Then the gateway sends to u1 only
 
-  Scenario: What has not changed is not sent again
-    # A gateway that reads the whole text with every poll fills the link that
-    # its callers' requests and answers need as well.
+  Scenario: Unchanged data is not sent again
+    # A gateway that reads the full text with every poll fills the link that its
+    # callers' requests and responses need as well.
     Given a store behind a link of 5 Mbit/s
     When the operators add 1400 routes
     And the gateway takes the configuration
     Then 10 further polls carry less than one configuration
 
-  Scenario: Large configurations follow each other faster than they come
-    # Eight versions within one transfer: taken one after the other, each
-    # would find more of them waiting than the one before, and the newest
-    # would never be in force.
+  Scenario: Large configurations follow each other faster than they transfer
+    # Eight versions are written within one transfer. Read one after the other,
+    # each would find more versions waiting than the one before, and the newest
+    # would never become active.
     Given a store behind a link of 5 Mbit/s
     When the operators add 1400 routes in each of 8 versions
     Then the gateway takes the configuration
     And it received no more than 3 configurations
 
-  Scenario: The store falls silent in the middle of an answer
-    # Bytes that come keep a call alive; a connection that went silent after
-    # half of its answer must not keep the gateway from asking again.
+  Scenario: The store stops sending in the middle of a response
+    # Arriving bytes keep a call alive; a connection that stops after half of
+    # its response must not keep the gateway from polling again.
     Given the store stops in the middle of one answer
     When the operators add 1400 routes
     Then the gateway takes the configuration
 
-  Scenario Outline: A peer of the fleet is behind a thin link
+  Scenario Outline: A peer of the fleet is behind a slow link
     # Where members publish their files through the system itself, a process
-    # asks a peer for what it lacks.  A peer with a large generation sent it
-    # for as long as a silent one is waited for, again and again.
+    # requests missing files from a peer. A peer with a large generation sent it
+    # until the timeout for an unresponsive peer, again and again.
     Given a peer that answers at 2 Mbit/s
     When a process asks it for <what>
     Then the answer is taken
