--- a/tests/features/overload.feature
+++ b/tests/features/overload.feature
@@ -50,11 +50,10 @@
     Then the request is expected to take 540 ms
 
   Scenario: Requests are served in time through bursts
-    # Bursts of 2.3 times the rate of one kind for 6 s and of 1.6 times the rate
-    # of all kinds reach pools that are three quarters full on a calm day. When
-    # requests were refused only if they were expected to be late, queues
-    # settled at the length of the slack, and three requests in twenty were
-    # slightly late.
+    # Bursts of 2.3 times one kind for 6 s and of 1.6 times all kinds reach
+    # pools that are three quarters full on a calm day. When only requests
+    # expected to be late were refused, queues settled at the length of the
+    # slack, and three requests in twenty were slightly late.
     When the model plays bursts with the margin of admission and without it
     Then less of the worth is late with it, and no less is attained
 
@@ -82,11 +81,10 @@
     Then the slow one got at most 5 calls, each after a longer pause
 
   Scenario Outline: The bound of a logged day follows from its instances
-    # The log of a bad day shows whether it could have been served better.
-    # Twelve requests of four pieces arrive at once at a pool that makes four in
-    # 368 ms and has 1581 ms for them: 4.3 requests per instance. Late requests
-    # are worth 0.15 of timely ones, and the bound counts up to 1/32 of a
-    # request too much.
+    # The log shows whether a bad day could have been better. Twelve requests of
+    # four pieces reach a pool that makes four in 368 ms and has 1581 ms for
+    # them: 4.3 requests per instance. Late requests are worth 0.15 of the
+    # others; the bound is up to 1/32 of a request too high.
     Given a log of 12 requests of 4 pieces that come at once to <instances> instances
     Then its bound is between <low> and <high>
 
