--- a/tests/features/overload.feature
+++ b/tests/features/overload.feature
@@ -82,9 +82,9 @@
 
   Scenario Outline: The bound of a logged day follows from its instances
     # The log shows whether a bad day could have been better. Twelve requests of
-    # four pieces reach a pool that makes four in 368 ms and has 1581 ms for
-    # them: 4.3 requests per instance. Late requests are worth 0.15 of the
-    # others; the bound is up to 1/32 of a request too high.
+    # four pieces come at once to a pool that makes four in 368 ms and has 1581
+    # ms for them: 4.3 requests per instance. Late requests are worth 0.15 of
+    # the others; the bound is up to 1/32 of a request too high.
     Given a log of 12 requests of 4 pieces that come at once to <instances> instances
     Then its bound is between <low> and <high>
 
--- a/tests/features/thin_links.feature
+++ b/tests/features/thin_links.feature
@@ -3,8 +3,8 @@
 
   Scenario: A configuration transfers for longer than a small response may take
     # Callers of 14 of 20 gateways got "not found" on routes added a minute
-    # before, and were served on removed routes. The configuration of 350 KB
-    # takes 560 ms at 5 Mbit/s; each call was cancelled after 450 ms although
+    # before, and were served on removed routes. The configuration had grown to
+    # 350 KB, 560 ms at 5 Mbit/s; each call was cancelled after 450 ms although
     # bytes were arriving, and the next one began anew.
     Given a store behind a link of 5 Mbit/s
     When the operators add 1400 routes
