--- a/tests/features/once_ownership.feature
+++ b/tests/features/once_ownership.feature
@@ -10,7 +10,7 @@
     When 120 random orders of events are explored
     Then no key has run twice
 
-  Scenario: The exploration finds a double run if key creation is unchecked
+  Scenario: The exploration finds a double run without key creation times
     # The owner of a key records an entry and is killed; its successor has no
     # memory of it. Unless the successor compares the key's creation time with
     # the start of its own ownership, it runs the repeated request.
--- a/tests/features/pieces.feature
+++ b/tests/features/pieces.feature
@@ -100,7 +100,7 @@
     # A dossier's second stage reads six results of 60 kB for each of its ten
     # pieces and passes 60 kB to the engine: running it near the engine moved
     # ten times what running it near its inputs does. Light pieces run anywhere,
-    # since waiting would cost more than the bytes.
+    # since waiting for a local instance would cost more than the bytes.
     When a stage has <inputs> kB to read in domain one and <outputs> kB to hand to domain two
     Then its pieces are best made in domain <domain>
 
