--- a/measure/replica_fleet/fleet.py
+++ b/measure/replica_fleet/fleet.py
@@ -13,8 +13,8 @@
 from measure.replica_fleet.store_link import StoreLink
 from measure.replica_fleet.store_session import StoreSession
 from ragworthollow.conf import global_settings
-from ragworthollow.replica import StoreNews, derive_paces
-from ragworthollow.utils import get_boottime_ms, use_monotonic
+from ragworthollow.replica import StoreUpdate, derive_poll_intervals
+from ragworthollow.utils import get_boottime_ms, override_clocks
 
 _MILLISECONDS = 1000
 _ONE_WAY_MS = 1
@@ -85,7 +85,7 @@
         self._store = StoreSession()
         for number in range(_KEYS):
             self._store.put(f'servers/{number}')
-        paces = derive_paces(
+        paces = derive_poll_intervals(
             bound_ms=plan.bound_ms,
             heartbeat_ms=plan.heartbeat_ms,
         )
@@ -106,7 +106,7 @@
 
     async def play(self) -> FleetOutcome:
         loop = asyncio.get_running_loop()
-        with use_monotonic(loop.get_ms):
+        with override_clocks(loop.get_ms):
             tasks = [asyncio.ensure_future(one.run()) for one in self.gateways]
             tasks.append(asyncio.ensure_future(self._trouble_store()))
             await asyncio.sleep(_START_MS / _MILLISECONDS)
@@ -186,7 +186,7 @@
         asked: ModelGateway,
         *,
         longest_bytes: float,
-    ) -> StoreNews | None:
+    ) -> StoreUpdate | None:
         """Ask as a ping does; None where nothing answers in time."""
         timeout_s = global_settings.HOST_PING_TIMEOUT_MS / _MILLISECONDS
         try:
@@ -200,21 +200,22 @@
         asker: ModelGateway,
         asked: ModelGateway,
         longest_bytes: float,
-    ) -> StoreNews | None:
+    ) -> StoreUpdate | None:
         after = asker.replica.view.get_position()
         await self._travel(asker, asked)
         await self._wait_awake(asked.number)
         asked.asked += 1
-        news = asked.replica.make_news(
+        news = asked.replica.make_update(
             after=after,
             now_ms=get_boottime_ms(),
-            longest_bytes=longest_bytes,
-            may_be_snapshot=longest_bytes > global_settings.NEWS_BYTES,
+            max_bytes=longest_bytes,
+            allow_snapshot=longest_bytes
+            > global_settings.MAX_PING_UPDATE_BYTES,
         )
         await self._wait_awake(asked.number)
         await self._travel(asker, asked)
         await self._wait_awake(asker.number)
-        if longest_bytes == global_settings.NEWS_BYTES:
+        if longest_bytes == global_settings.MAX_PING_UPDATE_BYTES:
             asked.note_answer(len(msgspec.json.encode(news)))
         return news
 
--- a/packages/ragworthollow-daemon/src/ragworthollow_daemon/entry/stage_runner.py
+++ b/packages/ragworthollow-daemon/src/ragworthollow_daemon/entry/stage_runner.py
@@ -1,4 +1,4 @@
-"""Run one stage of a request, with further attempts where they are safe."""
+"""Run one stage of a request, with retries where they are safe."""
 
 import asyncio
 
@@ -6,7 +6,7 @@
 from ragworthollow.configuration import StageKind
 from ragworthollow.outcomes import Outcome, Reason
 from ragworthollow.routing import PeerState
-from ragworthollow.routing.choice import Wish
+from ragworthollow.routing.choice import SelectionCriteria
 from ragworthollow.transport import StageAnswer, StageCall, StreamLine
 from ragworthollow.transport.stage_answer import refuse
 from ragworthollow.utils import get_monotonic_ms
@@ -14,8 +14,8 @@
 from ragworthollow_daemon.entry.key_router import KeyRouter
 from ragworthollow_daemon.entry.messages import TokenEvent
 from ragworthollow_daemon.entry.pool_router import PoolRouter
-from ragworthollow_daemon.entry.racing import cancel_all, take_first
-from ragworthollow_daemon.entry.retry_rules import may_go_elsewhere
+from ragworthollow_daemon.entry.racing import cancel_all, wait_for_first_success
+from ragworthollow_daemon.entry.retry_rules import may_retry_elsewhere
 from ragworthollow_daemon.entry.stage_caller import StageCaller
 from ragworthollow_daemon.entry.stage_work import StageWork
 from ragworthollow_daemon.process_context import ProcessContext
@@ -25,20 +25,20 @@
 
 class StageRunner:
     """
-    See one stage through.
+    Run stages with retries and hedging.
 
     Parameters
     ----------
     context : ProcessContext
-        Of this process.
+        Context of this process.
     pools : PoolRouter
-        Chooses sidecars.
+        Router that chooses sidecars.
     keys : KeyRouter
-        Finds owners of keys.
+        Router that finds the owners of keys.
     estimates : Estimates
-        Learns how long stages take.
+        Estimates of stage durations, updated by each success.
     caller : StageCaller
-        Sends single attempts.
+        Caller that sends single attempts.
     """
 
     def __init__(
@@ -58,20 +58,20 @@
 
     async def run(self, work: StageWork) -> StageAnswer:
         """
-        Try a stage until it is done or nothing more can be tried.
+        Attempt a stage until it is done or no attempt is left.
 
         Parameters
         ----------
         work : StageWork
-            The stage of one request.
+            State of the stage of one request; updated.
 
         Returns
         -------
         StageAnswer
-            The answer that ended it.
+            Answer of the last attempt.
         """
         pool = work.stage.pool
-        self._pools.get_budget(pool).earn()
+        self._pools.get_budget(pool).deposit()
         while True:
             answer = await self._try_once(work)
             if answer.outcome is Outcome.done:
@@ -102,7 +102,7 @@
         now_ms = get_monotonic_ms()
         if answer.outcome is Outcome.done and not answer.replayed:
             elapsed_ms = now_ms - started_ms
-            self._estimates.record(work.get_key(), elapsed_ms, now_ms)
+            self._estimates.record(work.get_estimate_key(), elapsed_ms, now_ms)
         return answer
 
     async def _choose(self, work: StageWork) -> PeerState | None:
@@ -113,21 +113,26 @@
             )
         affinity = ''
         if work.stage.kind is StageKind.generate:
-            # Requests of one organisation and pipeline share their prompt's
-            # prefix; rivals never do.
+            # Requests of one organisation and pipeline share a prompt
+            # prefix; those of different organisations never do.
             affinity = f'{request.organisation}/{request.pipeline_name}'
-        wish = Wish(affinity_key=affinity, avoid=frozenset(work.tried))
+        wish = SelectionCriteria(
+            affinity_key=affinity, avoid=frozenset(work.tried)
+        )
         stage = work.stage
         peer = self._pools.choose(stage.pool, stage.model, wish)
         if peer is None and work.tried:
-            # A small pool: each was tried, and one may have come back.
+            # In a small pool all instances may have been tried; one of
+            # them may have recovered.
             work.tried.clear()
             await asyncio.sleep(global_settings.KEYED_RETRY_MS / _MILLISECONDS)
-            peer = self._pools.choose(stage.pool, stage.model, Wish())
+            peer = self._pools.choose(
+                stage.pool, stage.model, SelectionCriteria()
+            )
         return peer
 
     async def _hedge(self, work: StageWork, peer: PeerState) -> StageAnswer:
-        """Start a second attempt when the first takes unusually long."""
+        """Run an attempt, and start a second if it takes unusually long."""
         running = {asyncio.ensure_future(self._attempt(work, peer))}
         try:
             return await self._race(work, running)
@@ -148,7 +153,7 @@
         second = None if done else self._start_hedge(work)
         if second is not None:
             running.add(second)
-        answer = await take_first(running)
+        answer = await wait_for_first_success(running)
         cancel_all(running)
         return answer
 
@@ -156,11 +161,11 @@
         peer = self._pools.choose(
             work.stage.pool,
             work.stage.model,
-            Wish(avoid=frozenset(work.tried)),
+            SelectionCriteria(avoid=frozenset(work.tried)),
         )
         if peer is None:
             return None
-        if not self._pools.get_budget(work.stage.pool).spend():
+        if not self._pools.get_budget(work.stage.pool).withdraw():
             return None
         self._context.metrics.count_retry(work.stage.name, 'hedge')
         return asyncio.ensure_future(self._attempt(work, peer))
@@ -187,9 +192,9 @@
             emit,
             self._get_timeout_ms(work),
         )
-        # Each end counts, also that of an attempt that loses a race: only
-        # when none has reached an upstream was the request not run.
-        work.effects.note(work.stage, answer)
+        # Record every attempt, including one that loses a race: a request
+        # counts as not run only if no attempt has reached an upstream.
+        work.effects.record(work.stage, answer)
         return answer
 
     def _check_offset(
@@ -235,35 +240,40 @@
         if work.request.get_remaining_ms() <= 0:
             return False
         if answer.outcome is Outcome.not_run:
-            is_ours = answer.refusal.peer == self._context.settings.instance
-            if is_ours and not work.is_keyed_once():
-                # Nothing was left to try: looking again would find nothing
-                # and keep the loop from everybody else's requests.
+            is_local = answer.refusal.peer == self._context.settings.instance
+            if is_local and not work.is_keyed_once():
+                # No instance was left to try. Another search would find
+                # none either, and would keep the event loop from serving
+                # other requests.
                 return False
-            return may_go_elsewhere(work, answer.refusal.reason)
+            return may_retry_elsewhere(work, answer.refusal.reason)
         if not work.stage.repeatable:
             return False
         if work.attempts >= global_settings.MAX_ATTEMPTS:
             return False
-        return self._pools.get_budget(work.stage.pool).spend()
+        return self._pools.get_budget(work.stage.pool).withdraw()
 
     def _get_timeout_ms(self, work: StageWork) -> float:
         remaining_ms = work.request.get_remaining_ms()
         if not work.stage.repeatable:
             return remaining_ms
-        known_ms = self._estimates.get_ms(work.get_key(), get_monotonic_ms())
+        estimated_ms = self._estimates.get_ms(
+            work.get_estimate_key(), get_monotonic_ms()
+        )
         if work.stage.kind is StageKind.generate:
             floor_ms = global_settings.STREAM_SILENCE_FLOOR_MS
             factor = global_settings.STREAM_SILENCE_FACTOR
         else:
             floor_ms = global_settings.CALL_TIMEOUT_FLOOR_MS
             factor = global_settings.CALL_TIMEOUT_FACTOR
-        return min(remaining_ms, max(floor_ms, known_ms * factor))
+        return min(remaining_ms, max(floor_ms, estimated_ms * factor))
 
     def _get_hedge_delay_ms(self, work: StageWork) -> float:
-        known_ms = self._estimates.get_ms(work.get_key(), get_monotonic_ms())
+        estimated_ms = self._estimates.get_ms(
+            work.get_estimate_key(), get_monotonic_ms()
+        )
         return max(
-            known_ms * global_settings.HEDGE_QUANTILE_FACTOR,
+            estimated_ms * global_settings.HEDGE_QUANTILE_FACTOR,
             global_settings.HEDGE_DELAY_FLOOR_MS,
         )
 
--- a/packages/ragworthollow-daemon/src/ragworthollow_daemon/gateway/attempt.py
+++ b/packages/ragworthollow-daemon/src/ragworthollow_daemon/gateway/attempt.py
@@ -9,16 +9,18 @@
 from yarl import URL
 
 from ragworthollow.conf import global_settings
-from ragworthollow.exchange import AnswerMarks, UpstreamOrder
+from ragworthollow.exchange import AttemptMetadata, ResponseMetadata
 from ragworthollow.outcomes import Outcome, Reason
-from ragworthollow.platform.answer_wire import read_marks
 from ragworthollow.platform.request_wire import make_upstream_headers
+from ragworthollow.platform.response_wire import read_response_metadata
 from ragworthollow.transport.timeouts import make_timeout
 from ragworthollow.upstreams import UpstreamInstance
 from ragworthollow.utils import get_boottime_ms, get_monotonic_ms
-from ragworthollow_daemon.gateway.answer_notices import note_marks
 from ragworthollow_daemon.gateway.context import GatewayContext
 from ragworthollow_daemon.gateway.request_job import RequestJob
+from ragworthollow_daemon.gateway.response_metadata import (
+    apply_response_metadata,
+)
 from ragworthollow_daemon.gateway.upstream_failure import UpstreamFailure
 
 _STEP = 'attempt'
@@ -102,7 +104,7 @@
     sent_ms = get_boottime_ms()
     headers = make_upstream_headers(
         job.request.headers,
-        UpstreamOrder(
+        AttemptMetadata(
             instance=plan.instance.instance,
             organisation=job.get_organisation(),
             time_limit_ms=job.get_remaining_ms(),
@@ -208,15 +210,15 @@
     response: aiohttp.ClientResponse,
     sent_ms: float,
 ) -> OpenResult:
-    metadata = read_marks(response.status, response.headers)
+    metadata = read_response_metadata(response.status, response.headers)
     is_verified = metadata.is_signed or metadata.is_not_run
-    note_marks(
+    apply_response_metadata(
         context,
         plan.instance,
         metadata,
-        asked_ms=sent_ms,
+        sent_ms=sent_ms,
         is_authentic=is_verified
-        and metadata.request_id == job.terms.request_id,
+        and metadata.request_id == job.request_parameters.request_id,
     )
     failure = _classify_response(job, plan, response.status, metadata)
     if failure is None:
@@ -229,9 +231,12 @@
     job: RequestJob,
     plan: AttemptPlan,
     status: int,
-    metadata: AnswerMarks,
+    metadata: ResponseMetadata,
 ) -> UpstreamFailure | None:
-    if metadata.request_id != job.terms.request_id and not metadata.is_not_run:
+    if (
+        metadata.request_id != job.request_parameters.request_id
+        and not metadata.is_not_run
+    ):
         return _make_status_failure(
             plan, Reason.mismatched_answer, status, Outcome.unknown
         )
--- a/packages/ragworthollow-daemon/src/ragworthollow_daemon/gateway/attempt_series.py
+++ b/packages/ragworthollow-daemon/src/ragworthollow_daemon/gateway/attempt_series.py
@@ -10,11 +10,11 @@
 from ragworthollow.conf import global_settings
 from ragworthollow.logs.events import log_event
 from ragworthollow.outcomes import Outcome, Reason
-from ragworthollow.platform.answer_wire import make_caller_headers
-from ragworthollow.routes.homes import may_run_in
+from ragworthollow.platform.response_wire import make_caller_headers
+from ragworthollow.routes.allowed_regions import is_region_allowed
 from ragworthollow.upstreams import (
+    UpstreamCriteria,
     UpstreamInstance,
-    UpstreamWish,
     choose_upstream,
 )
 from ragworthollow.utils import get_monotonic_ms
@@ -72,7 +72,7 @@
         self._context = context
         self._inputs = inputs
         self._throttle = PoolThrottle(context=context, pool=job.pool)
-        self._allowed_regions = job.get_homes()
+        self._allowed_regions = job.get_allowed_regions()
         self._tried_instances: set[str] = set()
         self._sent_attempts = 0
         self._may_have_run = False
@@ -85,12 +85,12 @@
         return choose_upstream(
             [
                 instance
-                for instance in self._throttle.get_ready()
-                if may_run_in(instance.region, self._allowed_regions)
+                for instance in self._throttle.get_available()
+                if is_region_allowed(instance.region, self._allowed_regions)
             ],
-            context.book,
-            UpstreamWish(
-                affinity_key=self.job.terms.get_affinity_key(),
+            context.load_tracker,
+            UpstreamCriteria(
+                affinity_key=self.job.request_parameters.get_affinity_key(),
                 avoid=frozenset(self._tried_instances),
                 failure_domain=context.settings.failure_domain,
             ),
@@ -114,7 +114,7 @@
             return Err(self._explain_no_instance())
         if (
             self._sent_attempts
-            and not context.get_budget(self.job.pool).spend()
+            and not context.get_budget(self.job.pool).withdraw()
         ):
             context.metrics.count_retry(self.job.pool, 'budget_spent')
             return Err(self._last_failure)
@@ -123,10 +123,10 @@
             invariant='attempt.single_run',
             step=_STEP,
             peer=instance.instance,
-            detail=self.job.terms.request_id,
+            detail=self.job.request_parameters.request_id,
         )
         self._tried_instances.add(instance.instance)
-        self._throttle.note_sent(instance)
+        self._throttle.record_sent(instance)
         return Ok(
             AttemptPlan(
                 instance=instance,
@@ -139,7 +139,7 @@
     @contextmanager
     def track_in_flight(self, instance: UpstreamInstance) -> Iterator[None]:
         """Count the attempt as in flight at its instance while it runs."""
-        record = self._context.book.get(instance.instance)
+        record = self._context.load_tracker.get(instance.instance)
         record.in_flight += 1
         self._sent_attempts += 1
         try:
@@ -155,10 +155,10 @@
 
     def record_response(self, plan: AttemptPlan, status: int) -> None:
         """Record a response that is passed on to the caller."""
-        self._context.book.note_success(plan.instance.instance)
+        self._context.load_tracker.record_success(plan.instance.instance)
         if status in _SUCCESS_STATUSES:
             self._context.quarantine.record_success(self.job.fingerprint)
-        late_ms = get_monotonic_ms() - self.job.get_goal_ms()
+        late_ms = get_monotonic_ms() - self.job.get_objective_deadline_ms()
         self._log(plan, 'answered', status=status, late_ms=round(late_ms))
 
     def record_error_response(
@@ -189,7 +189,7 @@
             failure.reason,
         )
         if failure.reason in _SUSPECT_REASONS:
-            self._context.suspect(plan.instance)
+            self._context.mark_suspect(plan.instance)
         if failure.reason in _CONNECTION_LOSS_REASONS:
             self._context.quarantine.record_connection_loss(
                 plan.instance,
@@ -236,7 +236,9 @@
             return
         while self.choose_instance() is None:
             wait_ms = self._throttle.get_pool_wait_ms(self._tried_instances)
-            remaining_ms = self.job.get_goal_ms() - get_monotonic_ms()
+            remaining_ms = (
+                self.job.get_objective_deadline_ms() - get_monotonic_ms()
+            )
             if not wait_ms or wait_ms > remaining_ms:
                 return
             await asyncio.sleep(wait_ms / 1000)
@@ -258,7 +260,7 @@
         return self._make_failure(Reason.no_instance)
 
     def _find_quarantine_failure(self) -> UpstreamFailure | None:
-        remaining_ms = self._context.quarantine.get_left_ms(
+        remaining_ms = self._context.quarantine.get_remaining_ms(
             self.job.fingerprint
         )
         if not remaining_ms:
@@ -319,11 +321,11 @@
         )
 
     def _log(self, plan: AttemptPlan, event: str, **fields: object) -> None:
-        record = self._context.book.get(plan.instance.instance)
+        record = self._context.load_tracker.get(plan.instance.instance)
         log_event(
             event,
             step=_STEP,
-            request_id=self.job.terms.request_id,
+            request_id=self.job.request_parameters.request_id,
             fingerprint=self.job.fingerprint,
             peer=plan.instance.instance,
             failure_domain=plan.instance.failure_domain,
--- a/packages/ragworthollow-daemon/src/ragworthollow_daemon/gateway/call_watch.py
+++ b/packages/ragworthollow-daemon/src/ragworthollow_daemon/gateway/call_monitor.py
@@ -9,24 +9,26 @@
 from ragworthollow.conf import global_settings
 from ragworthollow.logs.events import log_event
 from ragworthollow.pieces import PieceCall
-from ragworthollow.platform.answer_wire import read_marks
-from ragworthollow.platform.stage_wire import REPORT_PATH, decode_working
+from ragworthollow.platform.response_wire import read_response_metadata
+from ragworthollow.platform.stage_wire import REPORT_PATH, decode_is_busy
 from ragworthollow.transport.timeouts import make_timeout
 from ragworthollow.upstreams import UpstreamInstance
 from ragworthollow.utils import get_boottime_ms, get_monotonic_ms
-from ragworthollow_daemon.gateway.answer_notices import note_marks
 from ragworthollow_daemon.gateway.context import GatewayContext
 from ragworthollow_daemon.gateway.pool_throttle import PoolThrottle
+from ragworthollow_daemon.gateway.response_metadata import (
+    apply_response_metadata,
+)
 
 _STEP = 'pieces'
 
-AskWorking = Callable[
+QueryIsBusy = Callable[
     [GatewayContext, UpstreamInstance],
     Coroutine[None, None, bool | None],
 ]
 
 
-async def ask_working(
+async def query_is_busy(
     context: GatewayContext,
     instance: UpstreamInstance,
 ) -> bool | None:
@@ -40,7 +42,7 @@
         off, is throttled, or is in a drained failure domain.
     """
     directory = context.directory
-    if directory.get_pause_left_ms(instance):
+    if directory.get_remaining_pause_ms(instance):
         return None
     if directory.drains.is_drained(instance.failure_domain):
         return None
@@ -49,7 +51,7 @@
         pool=instance.pool,
         is_only_sender=True,
     )
-    if not throttle.claim(instance):
+    if not throttle.try_acquire(instance):
         return None
     sent_ms = get_boottime_ms()
     try:
@@ -60,13 +62,13 @@
                 global_settings.UPSTREAM_CONNECT_TIMEOUT_MS,
             ),
         ) as response:
-            note_marks(
+            apply_response_metadata(
                 context,
                 instance,
-                read_marks(response.status, response.headers),
-                asked_ms=sent_ms,
+                read_response_metadata(response.status, response.headers),
+                sent_ms=sent_ms,
             )
-            return decode_working(await response.read())
+            return decode_is_busy(await response.read())
     except (
         TimeoutError,
         aiohttp.ClientError,
@@ -83,7 +85,7 @@
         return None
 
 
-class CallWatch:
+class CallMonitor:
     """
     Determine whether an overdue call is slow or its response was lost.
 
@@ -96,7 +98,7 @@
     ----------
     context : GatewayContext
         State of this gateway.
-    ask : callable
+    query : callable
         Queries whether an instance has any call in progress.
     """
 
@@ -104,12 +106,12 @@
         self,
         *,
         context: GatewayContext,
-        ask: AskWorking = ask_working,
+        query: QueryIsBusy = query_is_busy,
     ) -> None:
         self._context = context
-        self._query = ask
+        self._query = query
 
-    async def follow(
+    async def monitor(
         self,
         call: PieceCall,
         response: asyncio.Future,
@@ -132,7 +134,9 @@
         bool
             Whether the response was lost.
         """
-        overdue_ms = call.expected_ms * global_settings.PIECE_CALL_OVERDUE
+        overdue_ms = (
+            call.expected_ms * global_settings.PIECE_CALL_OVERDUE_FACTOR
+        )
         await asyncio.wait({response}, timeout=overdue_ms / 1000)
         is_slow = False
         while not response.done():
@@ -155,11 +159,13 @@
             return False
         await asyncio.wait(
             {response},
-            timeout=global_settings.PIECE_ANSWER_GRACE_MS / 1000,
+            timeout=global_settings.PIECE_RESPONSE_GRACE_MS / 1000,
         )
         return not response.done()
 
 
 def _is_slow(call: PieceCall) -> bool:
     duration_ms = get_monotonic_ms() - call.started_ms
-    return duration_ms >= call.expected_ms * global_settings.PIECE_CALL_PATIENCE
+    return (
+        duration_ms >= call.expected_ms * global_settings.PIECE_CALL_SLOW_FACTOR
+    )
--- a/packages/ragworthollow-daemon/src/ragworthollow_daemon/gateway/call_outcomes.py
+++ b/packages/ragworthollow-daemon/src/ragworthollow_daemon/gateway/call_result_handler.py
@@ -7,14 +7,16 @@
 from ragworthollow.outcomes import Outcome, Reason
 from ragworthollow.pieces import (
     PieceCall,
-    PieceGate,
     PieceOutcome,
     PieceResult,
+    PieceScheduler,
     WaitingPiece,
 )
 from ragworthollow.utils import get_monotonic_ms
-from ragworthollow_daemon.gateway.call_space import CallSpace
 from ragworthollow_daemon.gateway.context import GatewayContext
+from ragworthollow_daemon.gateway.result_space_recorder import (
+    ResultSpaceRecorder,
+)
 from ragworthollow_daemon.gateway.upstream_failure import UpstreamFailure
 
 _STEP = 'pieces'
@@ -23,7 +25,7 @@
 PieceResults = tuple[PieceResult, ...]
 
 
-class CallOutcomes:
+class CallResultHandler:
     """
     Deliver the results of calls, and retry pieces without a result.
 
@@ -31,7 +33,7 @@
     ----------
     context : GatewayContext
         State of this gateway.
-    free : callable
+    release : callable
         Releases results that nobody awaits, given a pool and their handles.
     """
 
@@ -39,16 +41,16 @@
         self,
         *,
         context: GatewayContext,
-        free: Callable[[str, Sequence[str]], None],
+        release: Callable[[str, Sequence[str]], None],
     ) -> None:
         self._context = context
-        self._release = free
-        self._space_recorder = CallSpace(context=context)
+        self._release = release
+        self._space_recorder = ResultSpaceRecorder(context=context)
 
-    def note_results(
+    def record_results(
         self,
         pool: str,
-        scheduler: PieceGate,
+        scheduler: PieceScheduler,
         call: PieceCall,
         results: PieceResults,
     ) -> None:
@@ -59,8 +61,8 @@
             f'pieces/{pool}',
             now_ms - call.started_ms,
         )
-        self._space_recorder.note_results(pool, scheduler, call, results)
-        for waiting, piece_result in zip(call.waiting, results, strict=True):
+        self._space_recorder.record_results(pool, scheduler, call, results)
+        for waiting, piece_result in zip(call.pieces, results, strict=True):
             self._resolve(pool, scheduler, call, waiting, piece_result)
         self._log(
             pool,
@@ -81,11 +83,15 @@
         completed one, and all pieces of that call missed their objectives.
         """
         duration_ms = now_ms - call.started_ms
-        slow_after_ms = call.expected_ms * global_settings.PIECE_CALL_PATIENCE
+        slow_after_ms = (
+            call.expected_ms * global_settings.PIECE_CALL_SLOW_FACTOR
+        )
         if duration_ms <= slow_after_ms:
-            self._context.book.note_success(call.instance.instance)
+            self._context.load_tracker.record_success(call.instance.instance)
 
-    async def settle(self, call: PieceCall, failure: UpstreamFailure) -> None:
+    async def wait_for_crash_check(
+        self, call: PieceCall, failure: UpstreamFailure
+    ) -> None:
         """
         Wait for the crash check of the instance of a failed call.
 
@@ -98,16 +104,16 @@
             call.instance,
             {
                 waiting.piece.fingerprint
-                for waiting in call.waiting
+                for waiting in call.pieces
                 if waiting.piece.fingerprint
             },
         )
         await self._context.quarantine.wait_for_crash_check(call.instance)
 
-    def note_failure(
+    def record_failure(
         self,
         pool: str,
-        scheduler: PieceGate,
+        scheduler: PieceScheduler,
         call: PieceCall,
         failure: UpstreamFailure,
     ) -> None:
@@ -119,13 +125,13 @@
         """
         self._record_failed_call(pool, scheduler, call, failure)
         if failure.reason is Reason.answer_lost:
-            self._space_recorder.note_lost(pool, scheduler, call)
+            self._space_recorder.record_lost(pool, scheduler, call)
         else:
-            self._context.suspect(call.instance)
+            self._context.mark_suspect(call.instance)
         # Nothing was sent, so the retry is not charged to the retry budget.
         is_budget_exempt = failure.reason is Reason.connect_failed
-        for waiting in call.waiting:
-            if not waiting.is_wanted or waiting in call.passed_on:
+        for waiting in call.pieces:
+            if not waiting.is_awaited or waiting in call.hedged:
                 continue
             if is_budget_exempt:
                 scheduler.resubmit(
@@ -136,8 +142,8 @@
             else:
                 self._retry(pool, scheduler, call, waiting, _FAILED_RESULT)
 
-    def note_slow(
-        self, pool: str, scheduler: PieceGate, call: PieceCall
+    def record_slow_call(
+        self, pool: str, scheduler: PieceScheduler, call: PieceCall
     ) -> None:
         """
         Hedge the pieces of a slow call at other instances.
@@ -152,14 +158,14 @@
             peer=call.instance.instance,
             detail='slower than expected; left running',
         )
-        self._context.suspect(call.instance)
+        self._context.mark_suspect(call.instance)
         self._record_failed_call(pool, scheduler, call, failure)
-        for waiting in call.waiting:
-            if not waiting.is_wanted or not self._may_retry(waiting):
+        for waiting in call.pieces:
+            if not waiting.is_awaited or not self._may_retry(waiting):
                 continue
-            if self._context.get_budget(pool).spend():
+            if self._context.get_budget(pool).withdraw():
                 self._context.metrics.count_retry(pool, 'slow_piece')
-                call.passed_on.add(waiting)
+                call.hedged.add(waiting)
                 scheduler.resubmit(
                     waiting,
                     call.instance.instance,
@@ -169,18 +175,18 @@
     def _resolve(
         self,
         pool: str,
-        scheduler: PieceGate,
+        scheduler: PieceScheduler,
         call: PieceCall,
         waiting: WaitingPiece,
         piece_result: PieceResult,
     ) -> None:
-        if not waiting.is_wanted:
+        if not waiting.is_awaited:
             if piece_result.handle:
                 self._release(pool, (piece_result.handle,))
             return
         if piece_result.outcome is PieceOutcome.done:
-            waiting.settle(piece_result)
-        elif waiting in call.passed_on:
+            waiting.resolve(piece_result)
+        elif waiting in call.hedged:
             # The other call that contains the piece decides its outcome.
             return
         elif piece_result.outcome is PieceOutcome.no_room:
@@ -191,19 +197,19 @@
         elif piece_result.outcome is PieceOutcome.failed:
             self._retry(pool, scheduler, call, waiting, piece_result)
         else:
-            waiting.settle(piece_result)
+            waiting.resolve(piece_result)
 
     def _retry(
         self,
         pool: str,
-        scheduler: PieceGate,
+        scheduler: PieceScheduler,
         call: PieceCall,
         waiting: WaitingPiece,
         last_result: PieceResult,
     ) -> None:
         """Queue a piece again if its attempts and the retry budget allow it."""
         may_retry = self._may_retry(waiting)
-        if may_retry and self._context.get_budget(pool).spend():
+        if may_retry and self._context.get_budget(pool).withdraw():
             self._context.metrics.count_retry(pool, 'piece')
             scheduler.resubmit(
                 waiting,
@@ -213,17 +219,17 @@
             return
         if may_retry:
             self._context.metrics.count_retry(pool, 'budget_spent')
-        waiting.settle(last_result)
+        waiting.resolve(last_result)
 
     def _may_retry(self, waiting: WaitingPiece) -> bool:
-        if self._context.quarantine.get_left_ms(waiting.piece.fingerprint):
+        if self._context.quarantine.get_remaining_ms(waiting.piece.fingerprint):
             return False
         return waiting.attempts + 1 < global_settings.PIECE_ATTEMPTS
 
     def _record_failed_call(
         self,
         pool: str,
-        scheduler: PieceGate,
+        scheduler: PieceScheduler,
         call: PieceCall,
         failure: UpstreamFailure,
     ) -> None:
@@ -244,7 +250,7 @@
     def _log(
         self,
         pool: str,
-        scheduler: PieceGate,
+        scheduler: PieceScheduler,
         call: PieceCall,
         event: str,
         **fields: object,
@@ -255,20 +261,22 @@
             pool=pool,
             peer=call.instance.instance,
             requests=sorted(
-                {member.piece.request_id for member in call.waiting}
+                {member.piece.request_id for member in call.pieces}
             ),
-            pieces=len(call.waiting),
+            pieces=len(call.pieces),
             failure_domain=call.instance.failure_domain,
             near=sum(
                 waiting.piece.failure_domain == call.instance.failure_domain
-                for waiting in call.waiting
+                for waiting in call.pieces
             ),
             limit=call.limit,
-            left=call.left,
+            left=call.remaining_pieces,
             queued=scheduler.get_depth(),
             expected_ms=round(call.expected_ms),
             took_ms=round(get_monotonic_ms() - call.started_ms),
-            room_bytes=scheduler.room.get_used(get_monotonic_ms()).get(
+            room_bytes=scheduler.result_space.get_used_bytes(
+                get_monotonic_ms()
+            ).get(
                 call.instance.instance,
             ),
             **fields,
--- a/packages/ragworthollow-daemon/src/ragworthollow_daemon/gateway/crash_watch.py
+++ b/packages/ragworthollow-daemon/src/ragworthollow_daemon/gateway/crash_detector.py
@@ -15,7 +15,7 @@
 Spawn = Callable[[Coroutine[None, None, None]], asyncio.Task[None]]
 
 
-class CrashWatch:
+class CrashDetector:
     """
     Report which requests were running on an instance when it crashed.
 
@@ -54,7 +54,7 @@
         self._probes: dict[str, asyncio.Task[None]] = {}
         self._crash_times_ms: dict[str, float] = {}
 
-    def note_break(
+    def record_connection_loss(
         self,
         instance: UpstreamInstance,
         fingerprints: Iterable[str],
@@ -82,7 +82,7 @@
         if incarnation not in self._probes:
             self._probes[incarnation] = self._spawn(self._probe(instance))
 
-    async def settle(self, instance: UpstreamInstance) -> None:
+    async def wait_for_crash_check(self, instance: UpstreamInstance) -> None:
         """Wait until the running check of an instance, if any, has ended."""
         probe = self._probes.get(instance.get_incarnation())
         if probe is not None:
@@ -102,7 +102,7 @@
         self._crash_times_ms = {
             crashed: at_ms
             for crashed, at_ms in self._crash_times_ms.items()
-            if at_ms > now_ms - global_settings.CRASH_MEMORY_MS
+            if at_ms > now_ms - global_settings.CRASHED_INCARNATION_TTL_MS
         }
         self._crash_times_ms[incarnation] = now_ms
         self._metrics.count_event('upstream_crashed')
--- a/packages/ragworthollow-daemon/src/ragworthollow_daemon/gateway/forwarder.py
+++ b/packages/ragworthollow-daemon/src/ragworthollow_daemon/gateway/forwarder.py
@@ -9,7 +9,6 @@
 from ragworthollow.conf import global_settings
 from ragworthollow.outcomes import Outcome, Reason
 from ragworthollow.utils import get_monotonic_ms
-from ragworthollow_daemon.gateway.answer_progress import AnswerProgress
 from ragworthollow_daemon.gateway.attempt import (
     AttemptPlan,
     OpenResult,
@@ -24,6 +23,7 @@
 )
 from ragworthollow_daemon.gateway.context import GatewayContext
 from ragworthollow_daemon.gateway.request_job import RequestJob
+from ragworthollow_daemon.gateway.response_progress import ResponseProgress
 from ragworthollow_daemon.gateway.stream_relay import StreamRelay
 from ragworthollow_daemon.gateway.upstream_failure import UpstreamFailure
 
@@ -45,7 +45,7 @@
     def __init__(self, *, context: GatewayContext) -> None:
         self._context = context
 
-    def expect_failure_domain(self, job: RequestJob) -> str:
+    def predict_failure_domain(self, job: RequestJob) -> str:
         """Return the failure domain for a request now; empty if no instance."""
         series = AttemptSeries(context=self._context, job=job, inputs=())
         instance = series.choose_instance()
@@ -56,7 +56,7 @@
         job: RequestJob,
         inputs: tuple[str, ...],
         on_inputs_read: Callable[[], None],
-        progress: AnswerProgress,
+        progress: ResponseProgress,
     ) -> ForwardResult:
         """
         Forward a request and return the response to its caller.
@@ -70,7 +70,7 @@
         on_inputs_read : callable
             Called when the upstream should have read the inputs; may be called
             more than once.
-        progress : AnswerProgress
+        progress : ResponseProgress
             Updated with the current attempt and the start of the response.
 
         Returns
@@ -79,7 +79,7 @@
             The response, either finished or ready to be sent, or why there is
             none.
         """
-        self._context.get_budget(job.pool).earn()
+        self._context.get_budget(job.pool).deposit()
         series = AttemptSeries(context=self._context, job=job, inputs=inputs)
         if job.route.is_stream():
             return await self._relay(series, on_inputs_read, progress)
@@ -88,7 +88,7 @@
     async def _fetch(
         self,
         series: AttemptSeries,
-        progress: AnswerProgress,
+        progress: ResponseProgress,
     ) -> ForwardResult:
         job = series.job
         while True:
@@ -114,7 +114,7 @@
         self,
         series: AttemptSeries,
         on_inputs_read: Callable[[], None],
-        progress: AnswerProgress,
+        progress: ResponseProgress,
     ) -> ForwardResult:
         relay = StreamRelay(
             job=series.job,
@@ -184,8 +184,8 @@
             nonlocal is_recorded
             if not is_recorded:
                 is_recorded = True
-                self._context.get_answer_time(job.pool).note(
-                    job.terms.prompt_tokens,
+                self._context.get_first_event_latency(job.pool).record(
+                    job.request_parameters.prompt_tokens,
                     get_monotonic_ms() - sent_ms,
                 )
             on_inputs_read()
@@ -206,8 +206,8 @@
         them for the duration of the prompt, while the pool that produced them
         is short of space for results.
         """
-        record = self._context.book.get(plan.instance.instance)
-        depth = record.in_flight + record.get_others(get_monotonic_ms())
+        record = self._context.load_tracker.get(plan.instance.instance)
+        depth = record.in_flight + record.get_other_requests(get_monotonic_ms())
         opening_response = open_response(self._context, series.job, plan)
         if depth > plan.instance.slots:
             return await opening_response
--- a/packages/ragworthollow-daemon/src/ragworthollow_daemon/gateway/peer_routes.py
+++ b/packages/ragworthollow-daemon/src/ragworthollow_daemon/gateway/peer_routes.py
@@ -17,33 +17,33 @@
     MemberChange,
 )
 from ragworthollow.transport.piece_messages import (
-    GateTransfer,
-    PiecesOrder,
+    PiecesRequest,
     ResultsRelease,
+    SchedulerTransfer,
     decode_pieces,
     encode_results,
 )
 from ragworthollow.transport.responses import Problem, respond
 from ragworthollow.utils import get_boottime_ms, get_monotonic_ms
-from ragworthollow_daemon.gateway.answer_notices import (
-    get_leaving_ages_ms,
-    take_leaving,
-)
 from ragworthollow_daemon.gateway.context import GatewayContext
-from ragworthollow_daemon.gateway.gate_handover import (
-    TRANSFER_PATH,
-    GateHandover,
-)
-from ragworthollow_daemon.gateway.limit_notices import (
-    hear_limits,
-    tell_limits,
+from ragworthollow_daemon.gateway.limit_updates import (
+    apply_limit_updates,
+    make_limit_updates,
 )
 from ragworthollow_daemon.gateway.piece_exchange import (
     FREE_PATH,
     RUN_PATH,
-    tell_released,
+    notify_released,
 )
 from ragworthollow_daemon.gateway.piece_service import PieceService
+from ragworthollow_daemon.gateway.response_metadata import (
+    apply_leaving,
+    get_leaving_ages_ms,
+)
+from ragworthollow_daemon.gateway.scheduler_handover import (
+    TRANSFER_PATH,
+    SchedulerHandover,
+)
 from ragworthollow_daemon.gateway.update_client import UPDATE_PATH
 
 _BAD_REQUEST = 400
@@ -61,7 +61,7 @@
         Gateways of the cluster.
     service : PieceService
         Runs pieces in the schedulers that this gateway hosts.
-    handover : GateHandover
+    handover : SchedulerHandover
         Accepts schedulers from their previous hosts.
     """
 
@@ -71,7 +71,7 @@
         context: GatewayContext,
         members: GatewayMembers,
         service: PieceService,
-        handover: GateHandover,
+        handover: SchedulerHandover,
     ) -> None:
         self._handover = handover
         self._context = context
@@ -99,16 +99,18 @@
         except msgspec.DecodeError as error:
             return respond(Problem(error=str(error)), status=_BAD_REQUEST)
         now_ms = get_monotonic_ms()
-        self._service.askers.hear(ping.instance, ping.incarnation, now_ms)
-        self._service.get_gates().peer_announcements.note(
+        self._service.requesters.record_ping(
+            ping.instance, ping.incarnation, now_ms
+        )
+        self._service.get_schedulers().peer_announcements.record(
             ping.instance,
             ping.announced,
             now_ms,
         )
         quarantine = self._context.quarantine
-        quarantine.take_news(ping.instance, ping.evidence)
-        take_leaving(self._context, ping.leaving_ages_ms)
-        hear_limits(
+        quarantine.apply_update(ping.instance, ping.evidence)
+        apply_leaving(self._context, ping.leaving_ages_ms)
+        apply_limit_updates(
             self._context,
             ping.named_limits,
             get_boottime_ms() - global_settings.HOST_PING_TIMEOUT_MS,
@@ -119,17 +121,17 @@
                 can_host=self._context.can_host(),
                 is_leaving=self._context.drain.is_draining,
                 waits_ms=self._service.get_waits_ms(),
-                store=self._context.replica.make_news(
+                store=self._context.replica.make_update(
                     after=StorePosition(
                         timeline=ping.store_timeline,
                         revision=ping.store_revision,
                     ),
                     now_ms=get_boottime_ms(),
-                    longest_bytes=global_settings.NEWS_BYTES,
+                    max_bytes=global_settings.MAX_PING_UPDATE_BYTES,
                 ),
-                evidence=quarantine.make_news(ping.instance),
+                evidence=quarantine.make_update(ping.instance),
                 leaving_ages_ms=get_leaving_ages_ms(self._context),
-                named_limits=tell_limits(self._context),
+                named_limits=make_limit_updates(self._context),
             ),
         )
 
@@ -141,11 +143,11 @@
         except msgspec.DecodeError as error:
             return respond(Problem(error=str(error)), status=_BAD_REQUEST)
         self._context.metrics.count_event('store_news_told')
-        update = self._context.replica.make_news(
+        update = self._context.replica.make_update(
             after=update_request.get_position(),
             now_ms=get_boottime_ms(),
-            longest_bytes=float('inf'),
-            may_be_snapshot=True,
+            max_bytes=float('inf'),
+            allow_snapshot=True,
         )
         return web.Response(body=encode_update(update))
 
@@ -157,7 +159,7 @@
         except msgspec.DecodeError as error:
             return respond(Problem(error=str(error)), status=_BAD_REQUEST)
         now_ms = get_monotonic_ms()
-        self._members.learn(change, now_ms)
+        self._members.apply_change(change, now_ms)
         self._context.set_members(self._members.get_members(), now_ms)
         log_event(
             'member_announced',
@@ -171,11 +173,11 @@
         """Run pieces; they are cancelled if the requester disconnects."""
         body = await request.read()
         try:
-            order = msgspec.json.decode(body, type=PiecesOrder)
+            order = msgspec.json.decode(body, type=PiecesRequest)
         except msgspec.DecodeError as error:
             return respond(Problem(error=str(error)), status=_BAD_REQUEST)
         now_ms = get_monotonic_ms()
-        self._service.askers.meet(order.asker, now_ms)
+        self._service.requesters.record_request(order.asker, now_ms)
         pieces = decode_pieces(order, now_ms)
         # A stopping host still finishes the pieces of its peers.
         with self._context.drain.serving():
@@ -197,7 +199,7 @@
             return respond(Problem(error=str(error)), status=_BAD_REQUEST)
         host = self._members.find_host(release.pool)
         if host is None or release.is_forwarded:
-            self._service.free(release.pool, release.handles)
+            self._service.release(release.pool, release.handles)
         else:
             self._context.spawn(self._forward(host, release))
         return web.Response()
@@ -208,15 +210,15 @@
         release: ResultsRelease,
     ) -> None:
         forwarded = msgspec.structs.replace(release, is_forwarded=True)
-        if not await tell_released(self._context, host, forwarded):
-            self._service.free(release.pool, release.handles)
+        if not await notify_released(self._context, host, forwarded):
+            self._service.release(release.pool, release.handles)
 
     async def apply_transfer(self, request: web.Request) -> web.Response:
         """Take over a scheduler's state from its previous host."""
         body = await request.read()
         try:
-            transfer = msgspec.json.decode(body, type=GateTransfer)
+            transfer = msgspec.json.decode(body, type=SchedulerTransfer)
         except msgspec.DecodeError as error:
             return respond(Problem(error=str(error)), status=_BAD_REQUEST)
-        self._handover.take(transfer)
+        self._handover.apply_transfer(transfer)
         return web.Response()
--- a/packages/ragworthollow-daemon/src/ragworthollow_daemon/gateway/piece_call.py
+++ b/packages/ragworthollow-daemon/src/ragworthollow_daemon/gateway/piece_call.py
@@ -7,7 +7,7 @@
 from ragworthollow.conf import global_settings
 from ragworthollow.outcomes import Outcome, Reason
 from ragworthollow.pieces import PieceCall, PieceResult
-from ragworthollow.platform.answer_wire import read_marks
+from ragworthollow.platform.response_wire import read_response_metadata
 from ragworthollow.platform.stage_wire import (
     EXPECT_INSTANCE,
     RUN_PATH,
@@ -16,8 +16,10 @@
 )
 from ragworthollow.transport.timeouts import make_timeout
 from ragworthollow.utils import get_boottime_ms, get_monotonic_ms
-from ragworthollow_daemon.gateway.answer_notices import note_marks
 from ragworthollow_daemon.gateway.context import GatewayContext
+from ragworthollow_daemon.gateway.response_metadata import (
+    apply_response_metadata,
+)
 from ragworthollow_daemon.gateway.upstream_failure import UpstreamFailure
 
 _STEP = 'pieces'
@@ -48,7 +50,7 @@
     """
     now_ms = get_monotonic_ms()
     sent_ms = get_boottime_ms()
-    pieces = tuple(waiting.piece for waiting in call.waiting)
+    pieces = tuple(waiting.piece for waiting in call.pieces)
     try:
         async with context.upstream_session.post(
             f'http://{call.instance.address}{RUN_PATH}',
@@ -82,12 +84,12 @@
     body: bytes,
     sent_ms: float,
 ) -> Result[PieceResults, UpstreamFailure]:
-    metadata = read_marks(response.status, response.headers)
-    note_marks(
+    metadata = read_response_metadata(response.status, response.headers)
+    apply_response_metadata(
         context,
         call.instance,
         metadata,
-        asked_ms=sent_ms,
+        sent_ms=sent_ms,
         is_authentic=metadata.is_not_run or response.status == _OK,
     )
     if metadata.is_not_run:
@@ -107,11 +109,11 @@
         return _make_failure(
             call, Reason.truncated, str(error), Outcome.unknown
         )
-    if len(results) != len(call.waiting):
+    if len(results) != len(call.pieces):
         return _make_failure(
             call,
             Reason.mismatched_answer,
-            f'{len(results)} results for {len(call.waiting)} pieces',
+            f'{len(results)} results for {len(call.pieces)} pieces',
             Outcome.unknown,
         )
     return Ok(results)
--- a/packages/ragworthollow-daemon/src/ragworthollow_daemon/gateway/piece_service.py
+++ b/packages/ragworthollow-daemon/src/ragworthollow_daemon/gateway/piece_service.py
@@ -7,24 +7,24 @@
 
 from ragworthollow.logs.events import log_event
 from ragworthollow.pieces import (
-    KeptResult,
     Piece,
     PieceCall,
-    PieceGate,
     PieceResult,
+    PieceScheduler,
     StageRun,
+    StoredResult,
     WaitingPiece,
 )
 from ragworthollow.utils import get_monotonic_ms
-from ragworthollow_daemon.gateway.asker_book import AskerBook
-from ragworthollow_daemon.gateway.call_outcomes import CallOutcomes
+from ragworthollow_daemon.gateway.call_monitor import QueryIsBusy, query_is_busy
+from ragworthollow_daemon.gateway.call_result_handler import CallResultHandler
 from ragworthollow_daemon.gateway.call_runner import CallRunner, SendCall
-from ragworthollow_daemon.gateway.call_watch import AskWorking, ask_working
 from ragworthollow_daemon.gateway.context import GatewayContext
-from ragworthollow_daemon.gateway.gate_book import GateBook
 from ragworthollow_daemon.gateway.piece_call import send_call
 from ragworthollow_daemon.gateway.pool_throttle import PoolThrottle
+from ragworthollow_daemon.gateway.requester_tracker import RequesterTracker
 from ragworthollow_daemon.gateway.result_releases import ResultReleaser
+from ragworthollow_daemon.gateway.scheduler_registry import SchedulerRegistry
 
 _STEP = 'pieces'
 
@@ -45,9 +45,9 @@
         Shared state of this process.
     send : callable
         Sends one call and returns its results.
-    free_at : callable, optional
+    release_at : callable, optional
         Releases results at the instance that produced them.
-    ask : callable
+    query : callable
         Asks an instance whether it is processing any call.
     """
 
@@ -56,15 +56,17 @@
         *,
         context: GatewayContext,
         send: SendCall = send_call,
-        free_at: ReleaseResults | None = None,
-        ask: AskWorking = ask_working,
+        release_at: ReleaseResults | None = None,
+        query: QueryIsBusy = query_is_busy,
     ) -> None:
         self._context = context
-        self._release_at = free_at or ResultReleaser().release
-        self._schedulers = GateBook(context=context)
-        self._outcomes = CallOutcomes(context=context, free=self.free)
-        self.askers = AskerBook()
-        self._calls = CallRunner(context=context, send=send, ask=ask)
+        self._release_at = release_at or ResultReleaser().release
+        self._schedulers = SchedulerRegistry(context=context)
+        self._outcomes = CallResultHandler(
+            context=context, release=self.release
+        )
+        self.requesters = RequesterTracker()
+        self._calls = CallRunner(context=context, send=send, query=query)
 
     async def run(self, pool: str, pieces: Sequence[Piece]) -> PieceResults:
         """
@@ -85,7 +87,7 @@
         refused = self._schedulers.refuse(pool, pieces)
         if refused is not None:
             return refused
-        self._context.get_budget(pool).earn()
+        self._context.get_budget(pool).deposit()
         loop = asyncio.get_running_loop()
         scheduler = self._schedulers.get(pool)
         stage_run = StageRun()
@@ -109,11 +111,11 @@
         except asyncio.CancelledError:
             # The requester has cancelled: results so far would occupy space at
             # their producers until they expire.
-            self.free(pool, _get_handles(futures))
+            self.release(pool, _get_handles(futures))
             raise
         finally:
             for waiting in submitted:
-                waiting.is_wanted = False
+                waiting.is_awaited = False
 
     def get_waits_ms(self) -> dict[str, list[float]]:
         """Return the expected waits (ms) by pool hosted here and priority."""
@@ -121,7 +123,7 @@
 
     def advance_all(self) -> None:
         """Advance all schedulers; cancel the work of terminated requesters."""
-        for requester in self.askers.take_gone(get_monotonic_ms()):
+        for requester in self.requesters.pop_terminated(get_monotonic_ms()):
             self._cancel_requester(requester)
         for pool in self._schedulers.get_pools():
             self.advance(pool)
@@ -141,37 +143,37 @@
         )
         calls = scheduler.plan(
             profile,
-            throttle.get_ready(),
-            self._context.book,
+            throttle.get_available(),
+            self._context.load_tracker,
             get_monotonic_ms(),
         )
         for call in calls:
-            throttle.note_sent(call.instance)
+            throttle.record_sent(call.instance)
             self._context.spawn(self._run_call(pool, scheduler, call))
 
     def add_stored_results(
         self,
         pool: str,
-        results: Sequence[KeptResult],
+        results: Sequence[StoredResult],
     ) -> None:
         """Account for results that another scheduler of the pool requested."""
         scheduler = self._schedulers.get(pool)
         for result in results:
-            scheduler.room.keep(result)
+            scheduler.result_space.add(result)
 
     def get_result_ttl_ms(self, pool: str) -> float:
         """Return how long (ms) an instance stores a result until it expires."""
         profile = self._schedulers.find_profile(pool)
-        return 0 if profile is None else profile.kept_ms
+        return 0 if profile is None else profile.result_ttl_ms
 
     def _cancel_requester(self, requester: str) -> None:
         released = 0
         for pool in self._schedulers.get_pools():
             scheduler = self._schedulers.get(pool)
-            scheduler.drop_asker(requester)
-            handles = scheduler.room.find_handles(requester)
+            scheduler.cancel_requester(requester)
+            handles = scheduler.result_space.find_handles(requester)
             released += len(handles)
-            self.free(pool, handles)
+            self.release(pool, handles)
         if released:
             log_event(
                 'asker_gone',
@@ -180,11 +182,11 @@
                 results=released,
             )
 
-    def get_gates(self) -> GateBook:
+    def get_schedulers(self) -> SchedulerRegistry:
         """Return the schedulers of this process."""
         return self._schedulers
 
-    def free(self, pool: str, handles: Sequence[str]) -> None:
+    def release(self, pool: str, handles: Sequence[str]) -> None:
         """Release results of a pool, whichever schedulers requested them."""
         by_producer: dict[str, list[str]] = {}
         for handle in handles:
@@ -210,21 +212,21 @@
         stay idle.
         """
         self._schedulers.forget_instance(instance)
-        self._calls.give_up(instance)
+        self._calls.cancel_calls(instance)
 
     def _handle_slow_call(
         self,
         pool: str,
-        scheduler: PieceGate,
+        scheduler: PieceScheduler,
         call: PieceCall,
     ) -> None:
-        self._outcomes.note_slow(pool, scheduler, call)
+        self._outcomes.record_slow_call(pool, scheduler, call)
         self.advance(pool)
 
     async def _run_call(
         self,
         pool: str,
-        scheduler: PieceGate,
+        scheduler: PieceScheduler,
         call: PieceCall,
     ) -> None:
         """
@@ -240,17 +242,17 @@
             on_slow=lambda: self._handle_slow_call(pool, scheduler, call),
         )
         if isinstance(response, Err):
-            await self._outcomes.settle(call, response.err_value)
+            await self._outcomes.wait_for_crash_check(call, response.err_value)
         scheduler.finish(call)
         if isinstance(response, Err):
-            self._outcomes.note_failure(
+            self._outcomes.record_failure(
                 pool,
                 scheduler,
                 call,
                 response.err_value,
             )
         else:
-            self._outcomes.note_results(
+            self._outcomes.record_results(
                 pool,
                 scheduler,
                 call,
--- a/packages/ragworthollow-daemon/src/ragworthollow_daemon/gateway/pool_throttle.py
+++ b/packages/ragworthollow-daemon/src/ragworthollow_daemon/gateway/pool_throttle.py
@@ -60,7 +60,7 @@
         limits = self._warm_up_limits
         return None if limits is None else limits.burst
 
-    def get_ready(self) -> Sequence[UpstreamInstance]:
+    def get_available(self) -> Sequence[UpstreamInstance]:
         """Return the instances that may get a request now."""
         instances = self._context.directory.get_pool(self._pool)
         if not self._context.throttle.is_needed():
@@ -126,20 +126,22 @@
         # may not send to, and gets its share in every window.
         return ThrottleRefusal(
             reason=Reason.rate_limited,
-            retry_after_ms=min(wait_ms, global_settings.NAMED_LIMIT_WINDOW_MS),
+            retry_after_ms=min(
+                wait_ms, global_settings.ADVERTISED_LIMIT_WINDOW_MS
+            ),
         )
 
-    def claim(self, instance: UpstreamInstance) -> bool:
+    def try_acquire(self, instance: UpstreamInstance) -> bool:
         """Return whether an instance may get a message now; record it if so."""
         if self.get_wait_ms(instance):
             return False
-        self.note_sent(instance)
+        self.record_sent(instance)
         return True
 
-    def note_sent(self, instance: UpstreamInstance) -> None:
+    def record_sent(self, instance: UpstreamInstance) -> None:
         """Record that a request is sent to an instance now."""
         if self._context.throttle.is_needed():
-            self._context.throttle.note_sent(
+            self._context.throttle.record_sent(
                 instance.get_incarnation(),
                 self._warm_up_limits,
                 get_monotonic_ms(),
@@ -154,7 +156,7 @@
                 yield instance
 
     def _has_advertised_limit(self, instance: UpstreamInstance) -> bool:
-        advertised = self._context.throttle.named_limits.find(
+        advertised = self._context.throttle.advertised_limits.find(
             instance.get_incarnation(),
             get_monotonic_ms(),
         )
@@ -166,7 +168,9 @@
     pool: str,
 ) -> RateLimits | None:
     pool_config = (
-        None if context.table is None else context.table.pools.get(pool)
+        None
+        if context.route_table is None
+        else context.route_table.pools.get(pool)
     )
     if pool_config is None:
         return None
--- a/packages/ragworthollow-daemon/src/ragworthollow_daemon/gateway/front.py
+++ b/packages/ragworthollow-daemon/src/ragworthollow_daemon/gateway/request_handler.py
@@ -7,10 +7,9 @@
 
 from ragworthollow.logs.events import log_event
 from ragworthollow.outcomes import Outcome, Reason
-from ragworthollow.platform.request_wire import read_terms
+from ragworthollow.platform.request_wire import read_request_parameters
 from ragworthollow.utils import get_boottime_ms, get_monotonic_ms
 from ragworthollow_daemon.gateway.admission import Admission
-from ragworthollow_daemon.gateway.answer_progress import AnswerProgress
 from ragworthollow_daemon.gateway.context import GatewayContext
 from ragworthollow_daemon.gateway.piece_client import PieceClient
 from ragworthollow_daemon.gateway.refusals import refuse
@@ -19,13 +18,14 @@
     RequestRunner,
     ResponseResult,
 )
-from ragworthollow_daemon.gateway.stream_relay import StreamBroken
+from ragworthollow_daemon.gateway.response_progress import ResponseProgress
+from ragworthollow_daemon.gateway.stream_relay import StreamAborted
 from ragworthollow_daemon.gateway.upstream_failure import UpstreamFailure
 
 _STEP = 'front'
 
 
-class Front:
+class RequestHandler:
     """
     Admit requests, run them and record their outcomes.
 
@@ -63,16 +63,16 @@
             response.force_close()
         return response
 
-    def advance(self) -> None:
+    def start_deferred(self) -> None:
         """Start deferred requests if there is capacity for them."""
-        self._runner.deferral.advance()
+        self._runner.deferral.start_ready()
 
     async def _run_while_connected(self, job: RequestJob) -> ResponseResult:
         """Run a request; record a cancellation if the caller disconnects."""
-        progress = AnswerProgress(step='stages', peer=job.pool)
+        progress = ResponseProgress(step='stages', peer=job.pool)
         try:
             return await self._runner.run(job, progress)
-        except StreamBroken as aborted:
+        except StreamAborted as aborted:
             self._record_aborted_stream(job, aborted.failure)
             return Ok(aborted.response)
         except (asyncio.CancelledError, ConnectionError) as error:
@@ -86,10 +86,10 @@
                 step=progress.step,
                 peer=progress.peer,
                 is_started=progress.is_started,
-                request_id=job.terms.request_id,
+                request_id=job.request_parameters.request_id,
                 route=job.route.name,
                 pool=job.pool,
-                version=job.table.version,
+                version=job.route_table.version,
                 error=repr(error),
                 elapsed_ms=round(get_monotonic_ms() - job.received_ms),
             )
@@ -104,7 +104,7 @@
         log_event(
             'stream_broken',
             step=failure.step,
-            request_id=job.terms.request_id,
+            request_id=job.request_parameters.request_id,
             route=job.route.name,
             pool=job.pool,
             peer=failure.peer,
@@ -131,9 +131,11 @@
         self._context.metrics.count_request(route, outcome, reason)
         self._context.metrics.latency.record('request', elapsed_ms)
         request_parameters = (
-            read_terms(request.headers) if job is None else job.terms
+            read_request_parameters(request.headers)
+            if job is None
+            else job.request_parameters
         )
-        table = self._context.table
+        table = self._context.route_table
         log_event(
             'request_ended',
             step=_STEP if failure is None else failure.step,
@@ -146,7 +148,9 @@
                 None
                 if table is None
                 else round(
-                    self._context.replica.evidence.get_age_ms(get_boottime_ms())
+                    self._context.replica.freshness.get_age_ms(
+                        get_boottime_ms()
+                    )
                 )
             ),
             status=response.status,
--- a/packages/ragworthollow-daemon/src/ragworthollow_daemon/gateway/request_job.py
+++ b/packages/ragworthollow-daemon/src/ragworthollow_daemon/gateway/request_job.py
@@ -4,9 +4,12 @@
 
 from aiohttp import web
 
-from ragworthollow.exchange import RequestTerms
+from ragworthollow.exchange import RequestParameters
 from ragworthollow.routes import KeyHolder, Route, RouteTable
-from ragworthollow.routes.homes import Homes, intersect_homes
+from ragworthollow.routes.allowed_regions import (
+    AllowedRegions,
+    intersect_regions,
+)
 from ragworthollow.utils import get_monotonic_ms
 
 
@@ -21,7 +24,7 @@
         The HTTP request, whose body has been read.
     body : bytes
         The complete body.
-    terms : RequestTerms
+    request_parameters : RequestParameters
         Options that the caller set in the request headers.
     route : Route
         Route that matched when the request arrived.
@@ -30,7 +33,7 @@
         none.
     pool : str
         Pool that serves the request after its stages.
-    table : RouteTable
+    route_table : RouteTable
         Configuration that applies to the request.
     waited_ms : float
         Time in milliseconds that the caller had already waited when it
@@ -44,17 +47,17 @@
 
     request: web.BaseRequest
     body: bytes
-    terms: RequestTerms
+    request_parameters: RequestParameters
     route: Route
     holder: KeyHolder | None
     pool: str
-    table: RouteTable
+    route_table: RouteTable
     waited_ms: float
     fingerprint: str
     received_ms: float
     deadline_ms: float
 
-    def get_goal_ms(self) -> float:
+    def get_objective_deadline_ms(self) -> float:
         """Return the objective deadline, counted from the first attempt."""
         return self.received_ms - self.waited_ms + self.route.objective_ms
 
@@ -64,7 +67,7 @@
 
     def get_active_stages(self) -> tuple[int, ...]:
         """Return the positions of the stages that have pieces."""
-        counts = self.terms.piece_counts
+        counts = self.request_parameters.piece_counts
         return tuple(
             position
             for position in range(len(self.route.stages))
@@ -79,10 +82,12 @@
         )
         return (*stages, self.pool)
 
-    def get_homes(self) -> Homes | None:
+    def get_allowed_regions(self) -> AllowedRegions | None:
         """Return the regions in which the request may run; None for any."""
-        holder_regions = None if self.holder is None else self.holder.homes
-        return intersect_homes(self.route.homes, holder_regions)
+        holder_regions = (
+            None if self.holder is None else self.holder.allowed_regions
+        )
+        return intersect_regions(self.route.allowed_regions, holder_regions)
 
     def get_priority(self) -> int:
         """Return the organisation's priority, or else the route's."""
--- a/packages/ragworthollow-daemon/src/ragworthollow_daemon/gateway/answer_notices.py
+++ b/packages/ragworthollow-daemon/src/ragworthollow_daemon/gateway/response_metadata.py
@@ -3,22 +3,22 @@
 from collections.abc import Mapping
 
 from ragworthollow.conf import global_settings
-from ragworthollow.exchange import AnswerMarks
+from ragworthollow.exchange import ResponseMetadata
 from ragworthollow.logs.events import log_event
 from ragworthollow.upstreams import UpstreamInstance
 from ragworthollow.utils import get_monotonic_ms
 from ragworthollow_daemon.gateway.context import GatewayContext
-from ragworthollow_daemon.gateway.limit_notices import record_limit
+from ragworthollow_daemon.gateway.limit_updates import record_limit
 
 _STEP = 'instances'
 
 
-def note_marks(
+def apply_response_metadata(
     context: GatewayContext,
     instance: UpstreamInstance,
-    metadata: AnswerMarks,
+    metadata: ResponseMetadata,
     *,
-    asked_ms: float,
+    sent_ms: float,
     is_authentic: bool = False,
 ) -> None:
     """
@@ -30,9 +30,9 @@
         State of this gateway.
     instance : UpstreamInstance
         Instance to which the request was sent.
-    metadata : AnswerMarks
+    metadata : ResponseMetadata
         Metadata from the head of the response.
-    asked_ms : float
+    sent_ms : float
         When the request was sent, on CLOCK_BOOTTIME, which includes time in
         suspend.
     is_authentic : bool
@@ -45,13 +45,15 @@
         return
     now_ms = get_monotonic_ms()
     if metadata.load is not None:
-        context.book.note_load(instance.instance, metadata.load, now_ms)
+        context.load_tracker.record_load(
+            instance.instance, metadata.load, now_ms
+        )
     if metadata.is_leaving:
         _record_leaving(context, instance, now_ms)
-    if metadata.warm_up_left_ms:
-        context.throttle.warm_ups.note(
+    if metadata.warm_up_remaining_ms:
+        context.throttle.warm_ups.record(
             instance.get_incarnation(),
-            now_ms + metadata.warm_up_left_ms,
+            now_ms + metadata.warm_up_remaining_ms,
         )
     if metadata.pause_ms is not None:
         _record_pause(context, instance, now_ms, metadata.pause_ms)
@@ -59,7 +61,7 @@
         context,
         instance,
         metadata,
-        sent_ms=asked_ms,
+        sent_ms=sent_ms,
         is_authentic=is_authentic,
     )
 
@@ -70,11 +72,11 @@
     return {
         incarnation: now_ms - since_ms
         for incarnation, since_ms in context.directory.get_leaving().items()
-        if now_ms - since_ms < global_settings.LEAVING_TOLD_MS
+        if now_ms - since_ms < global_settings.LEAVING_NOTIFY_MS
     }
 
 
-def take_leaving(
+def apply_leaving(
     context: GatewayContext,
     ages_ms: Mapping[str, float],
 ) -> None:
@@ -90,7 +92,7 @@
     """
     now_ms = get_monotonic_ms()
     for incarnation, age_ms in ages_ms.items():
-        if context.directory.note_leaving(incarnation, now_ms - age_ms):
+        if context.directory.record_leaving(incarnation, now_ms - age_ms):
             context.metrics.count_event('instance_leaving_heard')
             log_event(
                 'instance_leaving_heard',
@@ -105,9 +107,9 @@
     instance: UpstreamInstance,
     now_ms: float,
 ) -> None:
-    if not context.directory.note_leaving(instance.get_incarnation(), now_ms):
+    if not context.directory.record_leaving(instance.get_incarnation(), now_ms):
         return
-    context.quarantine.has_urgent_news.set()
+    context.quarantine.has_urgent_update.set()
     context.metrics.count_event('instance_said_leaving')
     log_event(
         'instance_said_leaving',
@@ -125,7 +127,7 @@
     now_ms: float,
     pause_ms: float,
 ) -> None:
-    context.directory.note_pause(instance, now_ms + pause_ms)
+    context.directory.record_pause(instance, now_ms + pause_ms)
     context.metrics.count_event('instance_said_pause')
     log_event(
         'instance_said_pause',
--- a/packages/ragworthollow-daemon/src/ragworthollow_daemon/gateway/result_releases.py
+++ b/packages/ragworthollow-daemon/src/ragworthollow_daemon/gateway/result_releases.py
@@ -6,18 +6,20 @@
 
 from ragworthollow.conf import global_settings
 from ragworthollow.logs.events import log_event
-from ragworthollow.platform.answer_wire import read_marks
+from ragworthollow.platform.response_wire import read_response_metadata
 from ragworthollow.platform.stage_wire import (
     EXPECT_INSTANCE,
-    FREE_PATH,
-    encode_free,
+    RELEASE_RESULTS_PATH,
+    encode_release,
 )
 from ragworthollow.transport.timeouts import make_timeout
 from ragworthollow.upstreams import UpstreamInstance
 from ragworthollow.utils import get_boottime_ms
-from ragworthollow_daemon.gateway.answer_notices import note_marks
 from ragworthollow_daemon.gateway.context import GatewayContext
 from ragworthollow_daemon.gateway.pool_throttle import PoolThrottle
+from ragworthollow_daemon.gateway.response_metadata import (
+    apply_response_metadata,
+)
 
 _STEP = 'pieces'
 _JSON = 'application/json'
@@ -75,14 +77,16 @@
     """
     while True:
         instance = context.directory.get(producer)
-        if instance is None or context.directory.get_pause_left_ms(instance):
+        if instance is None or context.directory.get_remaining_pause_ms(
+            instance
+        ):
             return None
         throttle = PoolThrottle(
             context=context,
             pool=instance.pool,
             is_only_sender=True,
         )
-        if throttle.claim(instance):
+        if throttle.try_acquire(instance):
             return instance
         await asyncio.sleep(throttle.get_wait_ms(instance) / _MILLISECONDS)
 
@@ -95,8 +99,8 @@
     sent_ms = get_boottime_ms()
     try:
         async with context.upstream_session.post(
-            f'http://{instance.address}{FREE_PATH}',
-            data=encode_free(handles),
+            f'http://{instance.address}{RELEASE_RESULTS_PATH}',
+            data=encode_release(handles),
             headers={
                 'Content-Type': _JSON,
                 EXPECT_INSTANCE: instance.instance,
@@ -106,11 +110,11 @@
                 global_settings.UPSTREAM_CONNECT_TIMEOUT_MS,
             ),
         ) as response:
-            note_marks(
+            apply_response_metadata(
                 context,
                 instance,
-                read_marks(response.status, response.headers),
-                asked_ms=sent_ms,
+                read_response_metadata(response.status, response.headers),
+                sent_ms=sent_ms,
             )
             await response.read()
     except (TimeoutError, aiohttp.ClientError, OSError) as error:
--- a/packages/ragworthollow-daemon/src/ragworthollow_daemon/gateway/result_holding.py
+++ b/packages/ragworthollow-daemon/src/ragworthollow_daemon/gateway/result_use_reporter.py
@@ -6,18 +6,18 @@
 
 from ragworthollow.membership.gateway_member import GatewayMember
 from ragworthollow.membership.gateway_members import GatewayMembers
-from ragworthollow.pieces import KeptResult, Piece, PieceResult
-from ragworthollow.platform.stage_wire import get_maker_address
-from ragworthollow.transport.piece_messages import GateTransfer
+from ragworthollow.pieces import Piece, PieceResult, StoredResult
+from ragworthollow.platform.stage_wire import get_producer_address
+from ragworthollow.transport.piece_messages import SchedulerTransfer
 from ragworthollow.utils import get_monotonic_ms
 from ragworthollow_daemon.gateway.context import GatewayContext
-from ragworthollow_daemon.gateway.gate_handover import (
+from ragworthollow_daemon.gateway.peer_notifications import notify_peer
+from ragworthollow_daemon.gateway.piece_service import PieceService
+from ragworthollow_daemon.gateway.results_in_use import ResultsInUse
+from ragworthollow_daemon.gateway.scheduler_handover import (
     TRANSFER_PATH,
     make_result_messages,
 )
-from ragworthollow_daemon.gateway.held_results import HeldResults
-from ragworthollow_daemon.gateway.peer_notes import tell_peer
-from ragworthollow_daemon.gateway.piece_service import PieceService
 
 
 class ResultUseReporter:
@@ -44,7 +44,7 @@
         self._context = context
         self._members = members
         self._service = service
-        self._in_use = HeldResults()
+        self._in_use = ResultsInUse()
 
     def add(
         self,
@@ -57,12 +57,12 @@
         self._in_use.add(
             pool,
             (
-                KeptResult(
+                StoredResult(
                     handle=result.handle,
                     instance=self._find_producer(pool, result.handle),
                     result_bytes=piece.result_bytes,
-                    until_ms=expires_ms,
-                    asker=piece.asker,
+                    expires_ms=expires_ms,
+                    requester=piece.requester,
                 )
                 for piece, result in zip(pieces, results, strict=True)
                 if result.handle
@@ -73,13 +73,13 @@
         """Record that results are released."""
         self._in_use.remove(pool, handles)
 
-    def tell_new_hosts(self) -> None:
+    def notify_new_hosts(self) -> None:
         """Report the results in use to new hosts of schedulers."""
         now_ms = get_monotonic_ms()
         for pool in self._in_use.get_pools():
             host = self._members.find_host(pool)
             incarnation = '' if host is None else host.incarnation
-            results = self._in_use.take_for_host(pool, incarnation, now_ms)
+            results = self._in_use.collect_for_host(pool, incarnation, now_ms)
             if not results:
                 continue
             if host is None:
@@ -91,17 +91,17 @@
         self,
         host: GatewayMember,
         pool: str,
-        results: tuple[KeptResult, ...],
+        results: tuple[StoredResult, ...],
     ) -> None:
-        transfer = GateTransfer(
+        transfer = SchedulerTransfer(
             pool=pool,
             source=self._context.settings.instance,
             kept=make_result_messages(results, get_monotonic_ms()),
         )
         body = msgspec.json.encode(transfer)
-        await tell_peer(self._context, host, TRANSFER_PATH, body)
+        await notify_peer(self._context, host, TRANSFER_PATH, body)
 
     def _find_producer(self, pool: str, handle: str) -> str:
-        address = get_maker_address(handle)
-        producer = self._context.directory.find_at(pool, address)
+        address = get_producer_address(handle)
+        producer = self._context.directory.find_by_address(pool, address)
         return '' if producer is None else producer.instance
--- a/packages/ragworthollow-daemon/src/ragworthollow_daemon/gateway/role.py
+++ b/packages/ragworthollow-daemon/src/ragworthollow_daemon/gateway/role.py
@@ -13,9 +13,9 @@
     ConfigurationSubscriber,
 )
 from ragworthollow_daemon.gateway.context import GatewayContext
-from ragworthollow_daemon.gateway.front import Front
-from ragworthollow_daemon.gateway.gate_handover import GateHandover
-from ragworthollow_daemon.gateway.instances_follower import InstancesFollower
+from ragworthollow_daemon.gateway.instances_subscriber import (
+    InstancesSubscriber,
+)
 from ragworthollow_daemon.gateway.membership import Membership
 from ragworthollow_daemon.gateway.peer_routes import PeerRoutes
 from ragworthollow_daemon.gateway.piece_client import PieceClient
@@ -24,6 +24,8 @@
     QuarantineRecords,
 )
 from ragworthollow_daemon.gateway.readiness import Readiness
+from ragworthollow_daemon.gateway.request_handler import RequestHandler
+from ragworthollow_daemon.gateway.scheduler_handover import SchedulerHandover
 from ragworthollow_daemon.gateway.status_routes import StatusRoutes
 from ragworthollow_daemon.gateway.store_poller_factory import (
     make_host_pinger,
@@ -61,17 +63,17 @@
             members=self.members,
             service=self.service,
         )
-        self._handover = GateHandover(
+        self._handover = SchedulerHandover(
             context=self.context,
             members=self.members,
-            gates=self.service.get_gates(),
+            schedulers=self.service.get_schedulers(),
         )
         self._quarantine_records = QuarantineRecords(context=self.context)
         self._store_poller = make_store_poller(
             context=self.context,
             members=self.members,
-            followers=(
-                InstancesFollower(
+            subscribers=(
+                InstancesSubscriber(
                     context=self.context,
                     on_change=self.service.advance_all,
                     on_restart=self.service.forget_incarnation,
@@ -84,15 +86,15 @@
         self._host_pinger = make_host_pinger(
             context=self.context,
             members=self.members,
-            announced=self.service.get_gates().announced,
-            follower=self._store_poller,
+            announced=self.service.get_schedulers().announced,
+            store_poller=self._store_poller,
         )
         self._runners: list[web.BaseRunner] = []
 
     async def start(self) -> None:
         """Start the listeners, then the background loops."""
         readiness = Readiness(context=self.context)
-        request_handler = Front(
+        request_handler = RequestHandler(
             context=self.context,
             pieces=self._piece_client,
         )
@@ -137,7 +139,7 @@
         self.context.spawn_loop(self._host_pinger.run())
         self.context.spawn_loop(self._quarantine_records.run())
 
-    def begin_stop(self) -> None:
+    def begin_shutdown(self) -> None:
         """Report as not ready, and refuse requests that cannot finish."""
         self.context.drain.is_draining = True
         self.context.stop.begin(
@@ -156,11 +158,11 @@
         started_ms = get_monotonic_ms()
         await self.membership.leave()
         await self.context.stop.wait(global_settings.GATEWAY_BALANCER_LAG_MS)
-        remaining_ms = self.context.stop.get_left_ms(get_boottime_ms())
-        if not await self.context.drain.wait_quiet(remaining_ms):
+        remaining_ms = self.context.stop.get_remaining_ms(get_boottime_ms())
+        if not await self.context.drain.wait_until_idle(remaining_ms):
             self.context.stop.abort()
-            await self.context.drain.wait_quiet(
-                global_settings.GATEWAY_LAST_ANSWERS_MS,
+            await self.context.drain.wait_until_idle(
+                global_settings.GATEWAY_FINAL_RESPONSES_MS,
             )
         await self.membership.end()
         log_event(
@@ -177,13 +179,13 @@
             await runner.cleanup()
         await self.context.close()
 
-    async def _tick(self, request_handler: Front) -> None:
+    async def _tick(self, request_handler: RequestHandler) -> None:
         while True:
-            await asyncio.sleep(global_settings.GATE_TICK_MS / 1000)
+            await asyncio.sleep(global_settings.SCHEDULER_TICK_MS / 1000)
             self._handover.check()
-            self._piece_client.tell_new_hosts()
+            self._piece_client.notify_new_hosts()
             self.service.advance_all()
-            request_handler.advance()
+            request_handler.start_deferred()
 
     async def _serve_application(
         self,
--- a/packages/ragworthollow-daemon/src/ragworthollow_daemon/gateway/gate_handover.py
+++ b/packages/ragworthollow-daemon/src/ragworthollow_daemon/gateway/scheduler_handover.py
@@ -8,22 +8,22 @@
 from ragworthollow.logs.events import log_event
 from ragworthollow.membership.gateway_member import GatewayMember
 from ragworthollow.membership.gateway_members import GatewayMembers
-from ragworthollow.pieces import ForeignCall, KeptResult, PieceGate
+from ragworthollow.pieces import PieceScheduler, RemoteCall, StoredResult
 from ragworthollow.transport.piece_messages import (
-    ForeignCallMessage,
-    GateTransfer,
-    KeptResultMessage,
+    RemoteCallMessage,
+    SchedulerTransfer,
+    StoredResultMessage,
 )
 from ragworthollow.utils import get_monotonic_ms
 from ragworthollow_daemon.gateway.context import GatewayContext
-from ragworthollow_daemon.gateway.gate_book import GateBook
-from ragworthollow_daemon.gateway.peer_notes import tell_peer
+from ragworthollow_daemon.gateway.peer_notifications import notify_peer
+from ragworthollow_daemon.gateway.scheduler_registry import SchedulerRegistry
 
 _STEP = 'pieces'
 TRANSFER_PATH = '/v1/gates/transfer'
 
 
-class GateHandover:
+class SchedulerHandover:
     """
     Report the calls and results of a pool to its new host.
 
@@ -40,7 +40,7 @@
         Shared state of this process.
     members : GatewayMembers
         Provides the host of each pool.
-    gates : GateBook
+    schedulers : SchedulerRegistry
         Schedulers of this process.
     """
 
@@ -49,11 +49,11 @@
         *,
         context: GatewayContext,
         members: GatewayMembers,
-        gates: GateBook,
+        schedulers: SchedulerRegistry,
     ) -> None:
         self._context = context
         self._members = members
-        self._schedulers = gates
+        self._schedulers = schedulers
         self._hosted: set[str] = set()
         self._notified: set[str] = set()
 
@@ -66,30 +66,30 @@
             else:
                 self._hand_over(pool, self._schedulers.get(pool), host)
 
-    def take(self, transfer: GateTransfer) -> None:
+    def apply_transfer(self, transfer: SchedulerTransfer) -> None:
         """Record the calls and results of another gateway for a pool."""
         now_ms = get_monotonic_ms()
         scheduler = self._schedulers.get(transfer.pool)
         if transfer.calls is not None:
-            scheduler.running.learn(
+            scheduler.running.record_remote_calls(
                 transfer.source,
                 _make_remote_calls(transfer.calls, now_ms),
             )
         for stored in transfer.kept:
-            scheduler.room.keep(
-                KeptResult(
+            scheduler.result_space.add(
+                StoredResult(
                     handle=stored.handle,
                     instance=stored.instance,
                     result_bytes=stored.result_bytes,
-                    until_ms=now_ms + stored.left_ms,
-                    asker=stored.asker,
+                    expires_ms=now_ms + stored.left_ms,
+                    requester=stored.asker,
                 ),
             )
 
     def _hand_over(
         self,
         pool: str,
-        scheduler: PieceGate,
+        scheduler: PieceScheduler,
         host: GatewayMember,
     ) -> None:
         if pool in self._hosted:
@@ -97,9 +97,9 @@
             self._release_queue(pool, scheduler, host)
         calls = _make_call_messages(scheduler)
         now_ms = get_monotonic_ms()
-        results = make_result_messages(scheduler.room.take_all(), now_ms)
+        results = make_result_messages(scheduler.result_space.pop_all(), now_ms)
         if calls or results or pool in self._notified:
-            transfer = GateTransfer(
+            transfer = SchedulerTransfer(
                 pool=pool,
                 source=self._context.settings.instance,
                 calls=calls,
@@ -115,7 +115,7 @@
     def _release_queue(
         self,
         pool: str,
-        scheduler: PieceGate,
+        scheduler: PieceScheduler,
         host: GatewayMember,
     ) -> None:
         queued = scheduler.get_depth()
@@ -129,18 +129,22 @@
             calls=len(scheduler.running.own),
         )
 
-    async def _send(self, host: GatewayMember, transfer: GateTransfer) -> None:
+    async def _send(
+        self, host: GatewayMember, transfer: SchedulerTransfer
+    ) -> None:
         # Without it, the host overestimates the free capacity of instances.
         body = msgspec.json.encode(transfer)
-        await tell_peer(self._context, host, TRANSFER_PATH, body)
+        await notify_peer(self._context, host, TRANSFER_PATH, body)
 
 
-def _make_call_messages(scheduler: PieceGate) -> tuple[ForeignCallMessage, ...]:
+def _make_call_messages(
+    scheduler: PieceScheduler,
+) -> tuple[RemoteCallMessage, ...]:
     return tuple(
-        ForeignCallMessage(
+        RemoteCallMessage(
             instance=call.instance.instance,
             result_bytes=sum(
-                waiting.piece.result_bytes for waiting in call.waiting
+                waiting.piece.result_bytes for waiting in call.pieces
             ),
         )
         for call in scheduler.running.own
@@ -148,41 +152,41 @@
 
 
 def make_result_messages(
-    results: Iterable[KeptResult],
+    results: Iterable[StoredResult],
     now_ms: float,
-) -> tuple[KeptResultMessage, ...]:
+) -> tuple[StoredResultMessage, ...]:
     """
     Encode results that still occupy space, for another gateway.
 
     Parameters
     ----------
-    results : iterable of KeptResult
+    results : iterable of StoredResult
         Results of one pool.
     now_ms : float
         Time on the monotonic clock, in milliseconds.
     """
     return tuple(
-        KeptResultMessage(
+        StoredResultMessage(
             handle=result.handle,
             instance=result.instance,
             result_bytes=result.result_bytes,
-            left_ms=result.until_ms - now_ms,
-            asker=result.asker,
+            left_ms=result.expires_ms - now_ms,
+            asker=result.requester,
         )
         for result in results
-        if result.until_ms > now_ms
+        if result.expires_ms > now_ms
     )
 
 
 def _make_remote_calls(
-    calls: Iterable[ForeignCallMessage],
+    calls: Iterable[RemoteCallMessage],
     now_ms: float,
-) -> list[ForeignCall]:
+) -> list[RemoteCall]:
     return [
-        ForeignCall(
+        RemoteCall(
             instance=call.instance,
             result_bytes=call.result_bytes,
-            until_ms=now_ms + global_settings.FOREIGN_CALL_MS,
+            expires_ms=now_ms + global_settings.REMOTE_CALL_TTL_MS,
         )
         for call in calls
     ]
--- a/packages/ragworthollow-daemon/src/ragworthollow_daemon/gateway/shutdown_state.py
+++ b/packages/ragworthollow-daemon/src/ragworthollow_daemon/gateway/shutdown_state.py
@@ -40,11 +40,11 @@
         self._started_ms = now_ms
         margin_ms = (
             global_settings.GATEWAY_STOP_MARGIN_MS
-            + global_settings.GATEWAY_LAST_ANSWERS_MS
+            + global_settings.GATEWAY_FINAL_RESPONSES_MS
         )
         self._deadline_ms = now_ms + grace_ms - margin_ms
 
-    def get_left_ms(self, now_ms: float) -> float:
+    def get_remaining_ms(self, now_ms: float) -> float:
         """Return the time left in which requests can still finish."""
         return self._deadline_ms - now_ms
 
@@ -52,7 +52,9 @@
         """Wait for `max_ms`, but only while requests can still finish."""
         wait_until_ms = min(get_boottime_ms() + max_ms, self._deadline_ms)
         while get_boottime_ms() < wait_until_ms:
-            await asyncio.sleep(global_settings.STOP_STEP_MS / _MILLISECONDS)
+            await asyncio.sleep(
+                global_settings.SHUTDOWN_POLL_MS / _MILLISECONDS
+            )
 
     def accepts(self, route: Route, limit_ms: float, now_ms: float) -> bool:
         """
@@ -72,7 +74,7 @@
         if route.is_stream():
             since_stop_ms = now_ms - self._started_ms
             return since_stop_ms < global_settings.GATEWAY_LATE_STREAM_MS
-        return limit_ms < self.get_left_ms(now_ms)
+        return limit_ms < self.get_remaining_ms(now_ms)
 
     def abort(self) -> None:
         """Abort unanswered work, so that its callers get a response."""
@@ -81,7 +83,7 @@
     async def run(
         self,
         work: Coroutine[None, None, Outcome],
-        may_end: Callable[[], bool] = _always_allow,
+        may_cancel: Callable[[], bool] = _always_allow,
     ) -> Outcome | None:
         """
         Run work until it is done or the process aborts it.
@@ -90,7 +92,7 @@
         ----------
         work : coroutine
             The work, which is cancelled if the process aborts it.
-        may_end : callable
+        may_cancel : callable
             Called at that point; returns whether the work may be cancelled.
 
         Returns
@@ -105,7 +107,7 @@
                 {task, abort_wait},
                 return_when=asyncio.FIRST_COMPLETED,
             )
-            if task.done() or not may_end():
+            if task.done() or not may_cancel():
                 return await task
             return None
         finally:
--- a/packages/ragworthollow-daemon/src/ragworthollow_daemon/gateway/status_routes.py
+++ b/packages/ragworthollow-daemon/src/ragworthollow_daemon/gateway/status_routes.py
@@ -6,8 +6,8 @@
 from ragworthollow.quarantine.operator_messages import (
     QUARANTINE_PATH,
     RELEASE_PATH,
-    ReleaseAnswer,
-    ReleaseOrder,
+    ReleaseRequest,
+    ReleaseResponse,
 )
 from ragworthollow.transport.responses import Problem, respond
 from ragworthollow.upstreams.operator_messages import INSTANCES_PATH
@@ -96,7 +96,7 @@
     async def get_metrics(self, _request: web.Request) -> web.Response:
         """Render the metrics in the Prometheus text format."""
         context = self._context
-        table = context.table
+        table = context.route_table
         context.metrics.set_state('version', table.version if table else 0)
         context.metrics.set_state('in_flight', context.drain.in_flight)
         context.metrics.set_state('store_calls', context.store.calls)
@@ -119,7 +119,7 @@
     async def get_status(self, _request: web.Request) -> web.Response:
         """Return the status as JSON."""
         context = self._context
-        table = context.table
+        table = context.route_table
         pools = table.pools if table else {}
         scheduled_pools = [
             pool_config.name
@@ -154,11 +154,11 @@
         """Release a request from quarantine on all gateways."""
         body = await request.read()
         try:
-            order = msgspec.json.decode(body, type=ReleaseOrder)
+            order = msgspec.json.decode(body, type=ReleaseRequest)
         except msgspec.DecodeError as error:
             return respond(Problem(error=str(error)), status=_BAD_REQUEST)
         is_released = self._context.quarantine.release(order.fingerprint)
-        return respond(ReleaseAnswer(is_released=is_released))
+        return respond(ReleaseResponse(is_released=is_released))
 
     def _list_instances(self, pool: str) -> list[str]:
         instances = self._context.directory.get_pool(pool)
--- a/packages/ragworthollow-daemon/src/ragworthollow_daemon/main.py
+++ b/packages/ragworthollow-daemon/src/ragworthollow_daemon/main.py
@@ -1,4 +1,4 @@
-"""Run `ragworthd`."""
+"""Command line of `ragworthd`."""
 
 import sys
 from pathlib import Path
@@ -21,7 +21,8 @@
 app = App(
     name='ragworthd',
     help='Run one process of ragworthollow: an entry, which receives'
-    " callers' requests, or a sidecar, which guards one upstream instance.",
+    " callers' requests, or a sidecar, which runs beside one upstream"
+    ' instance and limits its requests.',
     version=__version__,
 )
 
@@ -36,9 +37,10 @@
     ] = False,
 ) -> None:
     """
-    Run until TERM, which stops gracefully; a second TERM stops at once.
+    Run until SIGTERM, which shuts down gracefully; a second one exits at once.
 
-    Exit codes: 0 stopped, 1 cut by a second signal, 2 bad settings.
+    Exit codes: 0 shut down gracefully, 1 aborted by a second signal,
+    2 invalid settings.
     """
     loaded = load_settings(settings)
     if isinstance(loaded, Err):
@@ -55,5 +57,5 @@
 
 
 def main() -> None:
-    """Run the command line."""
+    """Run the command-line application."""
     app()
--- a/packages/ragworthollow/src/ragworthollow/conf/loading.py
+++ b/packages/ragworthollow/src/ragworthollow/conf/loading.py
@@ -28,7 +28,8 @@
     Returns
     -------
     Result
-        The settings, or the first problem: file, key, hint.
+        The settings, or a message about the first problem, with the file, the
+        key and a hint.
     """
     try:
         source = path.read_bytes()
--- a/packages/ragworthollow/src/ragworthollow/membership/host_capacity.py
+++ b/packages/ragworthollow/src/ragworthollow/membership/host_capacity.py
@@ -5,7 +5,7 @@
 from ragworthollow.conf import global_settings
 
 
-def measure_capacity(*, cores: float, link_mbps: float) -> float:
+def compute_capacity(*, cores: float, link_mbps: float) -> float:
     """
     Return the number of cores that a host of schedulers can use.
 
@@ -34,8 +34,8 @@
         last.
     """
     if capacity <= 0:
-        return global_settings.HOST_LEAST_CLASS
+        return global_settings.HOST_MIN_SIZE_CLASS
     return max(
-        global_settings.HOST_LEAST_CLASS,
+        global_settings.HOST_MIN_SIZE_CLASS,
         math.floor(math.log2(capacity)),
     )
--- a/packages/ragworthollow/src/ragworthollow/replica/store_view.py
+++ b/packages/ragworthollow/src/ragworthollow/replica/store_view.py
@@ -16,7 +16,7 @@
 
     Attributes
     ----------
-    found : mapping of str to Stored
+    entries : mapping of str to Stored
         All entries by key.
     revision : int
         Revision up to which changes have been applied; 0 before the first
@@ -38,7 +38,7 @@
         self.size_bytes = 0
 
     @property
-    def found(self) -> Mapping[str, Stored]:
+    def entries(self) -> Mapping[str, Stored]:
         """Return all entries by key."""
         return self._entries
 
@@ -64,11 +64,11 @@
             self._removed = {}
             self._removals_known_after = snapshot.revision
         elif self.revision:
-            missing = self._entries.keys() - snapshot.found.keys()
+            missing = self._entries.keys() - snapshot.entries.keys()
             self._record_removed(dict.fromkeys(missing, snapshot.revision))
         else:
             self._removals_known_after = snapshot.revision
-        self._entries = dict(snapshot.found)
+        self._entries = dict(snapshot.entries)
         self.revision = snapshot.revision
         self.timeline = snapshot.timeline
         self.size_bytes = snapshot.size_bytes
@@ -128,7 +128,7 @@
                 written={},
                 removed={},
                 revision=self.revision,
-                is_whole=True,
+                is_complete=True,
                 timeline=self.timeline,
             )
         return StoreChanges(
@@ -143,13 +143,13 @@
                 if revision > after_revision
             },
             revision=self.revision,
-            is_whole=True,
+            is_complete=True,
             timeline=self.timeline,
         )
 
     def _record_removed(self, removed: Mapping[str, int]) -> None:
         self._removed.update(removed)
-        excess = len(self._removed) - global_settings.REMOVED_KEYS_KEPT
+        excess = len(self._removed) - global_settings.MAX_REMOVED_KEYS
         if excess <= 0:
             return
         by_revision = sorted(self._removed.items(), key=itemgetter(1))
--- a/tests/features/steps/answer_notices.py
+++ b/tests/features/steps/answer_notices.py
@@ -131,7 +131,7 @@
 @then('no gateway takes another for silent')
 def check_none_silent(context):
     for role in context.gateway_stage.gateways.values():
-        assert not any(map(role.members.is_silent, NAMES))
+        assert not any(map(role.members.is_unresponsive, NAMES))
 
 
 @when('{count:d} more callers post to {path:S}')
@@ -161,7 +161,7 @@
 @when('it is under suspicion no more')
 def wait_trusted(context):
     stage = context.gateway_stage
-    record = stage.get_context().book.get('u1')
+    record = stage.get_context().load_tracker.get('u1')
     stage.run(
         stage.wait_for(lambda: record.suspect_until_ms <= get_monotonic_ms()),
     )
--- a/tests/features/steps/instance_entries.py
+++ b/tests/features/steps/instance_entries.py
@@ -10,11 +10,13 @@
 from hypothesis import strategies as st
 from result import Ok
 
-from ragworthollow.pieces import KeptResult, PieceOutcome, PieceResult
+from ragworthollow.pieces import PieceOutcome, PieceResult, StoredResult
 from ragworthollow.platform.instances_wire import decode_instance
 from ragworthollow.platform.stored import Stored
-from ragworthollow.upstreams import Directory, LoadBook, UpstreamInstance
-from ragworthollow_daemon.gateway.instances_follower import InstancesFollower
+from ragworthollow.upstreams import Directory, LoadTracker, UpstreamInstance
+from ragworthollow_daemon.gateway.instances_subscriber import (
+    InstancesSubscriber,
+)
 from ragworthollow_daemon.gateway.piece_service import PieceService
 from tests.fixtures.gateways import make_settings
 from tests.fixtures.piece_pool import make_waiting
@@ -73,13 +75,13 @@
 
 def _make_follower(book=None):
     directory = Directory()
-    follower = InstancesFollower(
+    follower = InstancesSubscriber(
         context=SimpleNamespace(
             directory=directory,
-            book=book or LoadBook(),
+            load_tracker=book or LoadTracker(),
             throttle=make_throttle(),
             settings=make_settings(),
-            table=None,
+            route_table=None,
         ),
         on_change=lambda: None,
         on_restart=lambda _: None,
@@ -102,7 +104,7 @@
     follower, context.directory = _make_follower()
     found = _store(good=msgspec.json.encode(_ENTRY), bad=_make_entry(change))
     for asked_ms in (0, 600, 1200):
-        follower.take(found, asked_ms)
+        follower.apply_entries(found, asked_ms)
 
 
 @then('it names no instance, and this is logged once')
@@ -136,7 +138,9 @@
     @for_all(text=_TEXTS)
     def check(text):
         follower, directory = _make_follower()
-        follower.take(_store(good=msgspec.json.encode(_ENTRY), odd=text), 0)
+        follower.apply_entries(
+            _store(good=msgspec.json.encode(_ENTRY), odd=text), 0
+        )
         names = [one.instance for one in directory.get_pool('p')]
         assert 'good' in names, names
         odd = decode_instance('servers/odd', text)
@@ -163,23 +167,23 @@
     'with {running:d} requests of ours running',
 )
 def make_failed(context, failures, running):
-    context.book = LoadBook()
+    context.book = LoadTracker()
     context.follower, _ = _make_follower(context.book)
-    context.follower.take_instances([_make_instance(1000)], 0)
+    context.follower.apply_instances([_make_instance(1000)], 0)
     for _ in range(failures):
-        context.book.note_failure('i1', 0)
+        context.book.record_failure('i1', 0)
     context.record = context.book.get('i1')
     context.record.in_flight += running
 
 
 @when('a list shows that it has started again')
 def show_restarted(context):
-    context.follower.take_instances([_make_instance(5000)], 1000)
+    context.follower.apply_instances([_make_instance(5000)], 1000)
 
 
 @when('a list shows it as before')
 def show_again(context):
-    context.follower.take_instances([_make_instance(1000)], 1000)
+    context.follower.apply_instances([_make_instance(1000)], 1000)
 
 
 @then('it is trusted and counted empty')
@@ -230,20 +234,20 @@
         return Ok(
             tuple(
                 PieceResult(outcome=PieceOutcome.done, handle=f'h{number}')
-                for number in range(len(call.waiting))
+                for number in range(len(call.pieces))
             ),
         )
 
     context.service = PieceService(context=gateway, send=send)
     _list_stage_instance(stage, 1000)
-    gate = context.service.get_gates().get('stage')
+    gate = context.service.get_schedulers().get('stage')
     for number in range(3):
-        gate.room.keep(
-            KeptResult(
+        gate.result_space.add(
+            StoredResult(
                 handle=f'old{number}',
                 instance='i1',
                 result_bytes=1_000_000,
-                until_ms=_NEVER_MS,
+                expires_ms=_NEVER_MS,
             ),
         )
     context.running = stage.loop.create_task(
@@ -269,12 +273,12 @@
     assert made.outcome is PieceOutcome.done
     starts = [call.instance.started_unix_ms for call in context.sent]
     assert starts == [1000, 5000], starts
-    record = stage.get_context().book.get('i1')
+    record = stage.get_context().load_tracker.get('i1')
     assert record.failures == 0, record
 
 
 @then('its space is free')
 def check_space_free(context):
-    gate = context.service.get_gates().get('stage')
-    kept = [one.handle for one in gate.room.take_all()]
+    gate = context.service.get_schedulers().get('stage')
+    kept = [one.handle for one in gate.result_space.pop_all()]
     assert kept == ['h0'], kept
--- a/tests/features/steps/late_service.py
+++ b/tests/features/steps/late_service.py
@@ -12,16 +12,16 @@
 from ragworthollow.conf import global_settings
 from ragworthollow.metrics import Metrics
 from ragworthollow.outcomes import Reason
-from ragworthollow.utils import use_monotonic
+from ragworthollow.utils import override_clocks
 from ragworthollow_daemon.gateway.admission import Admission
 from ragworthollow_daemon.gateway.context import GatewayContext
-from ragworthollow_daemon.gateway.deferral import Deferral
+from ragworthollow_daemon.gateway.deferral_queue import DeferralQueue
 
 _SEEDS = (1, 2, 3)
 _PATTERNS = ('bursts', 'lost-gin-sync')
 _NO_DEFERRAL = (
-    Setting(name='CALLER_PATIENCE', value=0),
-    Setting(name='CALLER_PATIENCE_LEAST_MS', value=0),
+    Setting(name='CALLER_TIMEOUT_FACTOR', value=0),
+    Setting(name='CALLER_TIMEOUT_MIN_MS', value=0),
 )
 _PRIORITIES = (2, 0, 1)
 
@@ -38,7 +38,7 @@
             metrics=Metrics(),
             directory=SimpleNamespace(get_pool=self._get_pool),
         )
-        self.deferral = Deferral(
+        self.deferral = DeferralQueue(
             context=context,
             get_waits_ms=lambda pools, _: dict.fromkeys(pools, 0),
         )
@@ -47,20 +47,20 @@
         return self.loop.time() * 1000
 
     def run(self, coroutine):
-        with use_monotonic(self.get_ms):
+        with override_clocks(self.get_ms):
             return self.loop.run_until_complete(coroutine)
 
     async def defer(self, name: str, latest_ms: float, priority: int) -> None:
         """Defer a request, and note when and how that ended."""
         job = SimpleNamespace(
             pool='engines',
-            terms=SimpleNamespace(request_id=name),
+            request_parameters=SimpleNamespace(request_id=name),
             route=SimpleNamespace(name='r', stages=(), objective_ms=1000),
             get_priority=lambda: priority,
         )
         way = SimpleNamespace(
             get_latest_start_ms=lambda: latest_ms,
-            find_lateness_if_new_ms=self._find_lateness,
+            estimate_lateness_if_new_ms=self._find_lateness,
         )
         may_begin = await self.deferral.wait(job, way)
         self.turns[name] = (may_begin, round(self.get_ms()))
@@ -68,8 +68,8 @@
     async def advance(self, until_ms: float) -> None:
         """Let the deferral advance as a gateway does."""
         while self.get_ms() < until_ms:
-            self.deferral.advance()
-            await asyncio.sleep(global_settings.GATE_TICK_MS / 1000)
+            self.deferral.start_ready()
+            await asyncio.sleep(global_settings.SCHEDULER_TICK_MS / 1000)
 
     async def play(self, *deferred, until_ms: float = 6000) -> None:
         sending = [asyncio.ensure_future(one) for one in deferred]
@@ -240,18 +240,18 @@
     context.stage = _Stage()
     waiting = asyncio.Event()
 
-    def put_table(table) -> None:
-        context.owner.table = table
+    def set_route_table(table) -> None:
+        context.owner.route_table = table
         waiting.set()
 
-    async def wait_table(timeout_ms) -> None:
-        await GatewayContext.wait_table(context.owner, timeout_ms)
+    async def wait_for_route_table(timeout_ms) -> None:
+        await GatewayContext.wait_for_route_table(context.owner, timeout_ms)
 
     context.owner = SimpleNamespace(
-        table=None,
-        _table_came=waiting,
-        put_table=put_table,
-        wait_table=wait_table,
+        route_table=None,
+        _has_route_table=waiting,
+        set_route_table=set_route_table,
+        wait_for_route_table=wait_for_route_table,
     )
 
 
@@ -267,7 +267,9 @@
         if after_ms is not None:
             table = SimpleNamespace(match=lambda *_: None)
             loop = asyncio.get_running_loop()
-            loop.call_later(after_ms / 1000, context.owner.put_table, table)
+            loop.call_later(
+                after_ms / 1000, context.owner.set_route_table, table
+            )
         return await admission.admit(request, 0)
 
     context.answer = context.stage.run(ask())
--- a/tests/features/steps/lost_calls.py
+++ b/tests/features/steps/lost_calls.py
@@ -11,15 +11,15 @@
 from ragworthollow.membership.gateway_members import GatewayMembers
 from ragworthollow.metrics import Metrics
 from ragworthollow.outcomes import Outcome, Reason
-from ragworthollow.pieces import KeptResult, PieceCall
+from ragworthollow.pieces import PieceCall, StoredResult
 from ragworthollow.transport.host_messages import HostState
-from ragworthollow.utils import use_monotonic
-from ragworthollow_daemon.gateway.asker_book import AskerBook
-from ragworthollow_daemon.gateway.call_outcomes import CallOutcomes
-from ragworthollow_daemon.gateway.call_watch import CallWatch
+from ragworthollow.utils import override_clocks
+from ragworthollow_daemon.gateway.call_monitor import CallMonitor
+from ragworthollow_daemon.gateway.call_result_handler import CallResultHandler
 from ragworthollow_daemon.gateway.context import GatewayContext
-from ragworthollow_daemon.gateway.held_results import HeldResults
-from ragworthollow_daemon.gateway.host_pings import HostPings
+from ragworthollow_daemon.gateway.host_pinger import HostPinger
+from ragworthollow_daemon.gateway.requester_tracker import RequesterTracker
+from ragworthollow_daemon.gateway.results_in_use import ResultsInUse
 from ragworthollow_daemon.gateway.upstream_failure import UpstreamFailure
 from tests.fixtures.piece_pool import (
     FAR_MS,
@@ -38,7 +38,7 @@
     context.loop = VirtualLoop()
     context.call = PieceCall(
         instance=make_instances(1)[0],
-        waiting=(),
+        pieces=(),
         started_ms=0,
         expected_ms=300,
     )
@@ -51,8 +51,8 @@
     async def follow():
         context.slow = []
         sending = asyncio.ensure_future(asyncio.sleep(_ANSWER_MS / 1000))
-        watch = CallWatch(context=None, ask=ask)
-        context.is_lost = await watch.follow(
+        watch = CallMonitor(context=None, query=ask)
+        context.is_lost = await watch.monitor(
             context.call,
             sending,
             lambda: context.slow.append(context.loop.get_ms()),
@@ -60,7 +60,7 @@
         context.is_answered = sending.done()
         sending.cancel()
 
-    with use_monotonic(context.loop.get_ms):
+    with override_clocks(context.loop.get_ms):
         context.loop.run_until_complete(follow())
     context.ended_ms = context.loop.get_ms()
 
@@ -90,20 +90,20 @@
     assert 300 * 2.5 <= noted_ms < 300 * 3.5, noted_ms
 
 
-def _make_outcomes(pool: PiecePool) -> CallOutcomes:
-    return CallOutcomes(
+def _make_outcomes(pool: PiecePool) -> CallResultHandler:
+    return CallResultHandler(
         context=SimpleNamespace(
-            book=pool.book,
+            load_tracker=pool.book,
             metrics=Metrics(),
-            table=SimpleNamespace(
+            route_table=SimpleNamespace(
                 pools={'p': SimpleNamespace(pieces=pool.profile)},
             ),
             directory=SimpleNamespace(get_pool=lambda _: pool.instances),
-            get_budget=lambda _: SimpleNamespace(spend=lambda: True),
-            suspect=lambda one: pool.book.note_failure(one.instance, 0),
-            quarantine=SimpleNamespace(get_left_ms=lambda _: 0),
+            get_budget=lambda _: SimpleNamespace(withdraw=lambda: True),
+            mark_suspect=lambda one: pool.book.record_failure(one.instance, 0),
+            quarantine=SimpleNamespace(get_remaining_ms=lambda _: 0),
         ),
-        free=lambda *_: None,
+        release=lambda *_: None,
     )
 
 
@@ -120,8 +120,8 @@
         step='pieces',
         peer='i0',
     )
-    with use_monotonic(VirtualLoop().get_ms):
-        _make_outcomes(context.pool).note_failure(
+    with override_clocks(VirtualLoop().get_ms):
+        _make_outcomes(context.pool).record_failure(
             'p',
             context.pool.gate,
             call,
@@ -137,77 +137,77 @@
 
 @then('its space counts {count:d} results more')
 def check_counted(context, count):
-    used = context.pool.gate.room.get_used(0)
+    used = context.pool.gate.result_space.get_used_bytes(0)
     assert used == {'i0': count * RESULT_BYTES}, used
 
 
 @given('a gateway with {count:d} results of its requests at this host')
 def make_asker(context, count):
-    context.askers = AskerBook()
-    context.askers.hear('g2', 'earlier', 0)
+    context.askers = RequesterTracker()
+    context.askers.record_ping('g2', 'earlier', 0)
     context.pool = PiecePool(1, 4)
     gate = context.pool.gate
     for number in range(count):
-        gate.room.keep(
-            KeptResult(
+        gate.result_space.add(
+            StoredResult(
                 handle=f'h{number}',
                 instance='i0',
                 result_bytes=RESULT_BYTES,
-                until_ms=FAR_MS,
-                asker='earlier',
+                expires_ms=FAR_MS,
+                requester='earlier',
             ),
         )
-    context.waiting = make_waiting(5000, asker='earlier')
+    context.waiting = make_waiting(5000, requester='earlier')
     gate.submit(context.waiting)
 
 
 @when('another process of its name pings this host')
 def ping_anew(context):
-    context.askers.hear('g2', 'later', 100)
+    context.askers.record_ping('g2', 'later', 100)
 
 
 @then('its results are given up and its pieces are wanted no more')
 def check_given_up(context):
-    (gone,) = context.askers.take_gone(100)
+    (gone,) = context.askers.pop_terminated(100)
     gate = context.pool.gate
-    assert gate.room.find_handles(gone) == ('h0', 'h1')
-    gate.drop_asker(gone)
-    assert not context.waiting.is_wanted
-    assert not context.askers.take_gone(100)
+    assert gate.result_space.find_handles(gone) == ('h0', 'h1')
+    gate.cancel_requester(gone)
+    assert not context.waiting.is_awaited
+    assert not context.askers.pop_terminated(100)
 
 
 @then('it counts as gone only after more than a second of silence')
 def check_silence(context):
-    assert not context.askers.take_gone(1000)
-    context.askers.hear('g2', 'earlier', 1000)
-    assert not context.askers.take_gone(2000)
-    assert context.askers.take_gone(2001) == ['earlier']
+    assert not context.askers.pop_terminated(1000)
+    context.askers.record_ping('g2', 'earlier', 1000)
+    assert not context.askers.pop_terminated(2000)
+    assert context.askers.pop_terminated(2001) == ['earlier']
 
 
 @given('results of which 2 of 3 are still held')
 def hold_results(context):
-    context.held = HeldResults()
+    context.held = ResultsInUse()
     for handle in ('a', 'b', 'c'):
         context.held.add(
             'p',
             [
-                KeptResult(
+                StoredResult(
                     handle=handle,
                     instance='i0',
                     result_bytes=1,
-                    until_ms=FAR_MS,
+                    expires_ms=FAR_MS,
                 ),
             ],
         )
     context.held.remove('p', ['b'])
     # The host that made them knows of them.
-    assert not context.held.take_for_host('p', 'host', 0)
+    assert not context.held.collect_for_host('p', 'host', 0)
 
 
 @when('the gate has another host')
 def change_host(context):
     context.told = [
-        context.held.take_for_host('p', 'next', 0) for _ in range(2)
+        context.held.collect_for_host('p', 'next', 0) for _ in range(2)
     ]
 
 
@@ -237,9 +237,9 @@
 def check_own(context):
     assert len(context.calls) == 2
     for call in context.calls:
-        domains = {one.piece.failure_domain for one in call.waiting}
+        domains = {one.piece.failure_domain for one in call.pieces}
         assert domains == {call.instance.failure_domain}, domains
-        assert len(call.waiting) == 4
+        assert len(call.pieces) == 4
 
 
 @when('the near instance is busy and a piece for it is due at once')
@@ -258,7 +258,7 @@
 @then('the other instance makes it first')
 def check_urgent(context):
     assert context.call.instance.failure_domain == 'one'
-    assert context.call.waiting[0].piece.failure_domain == 'two'
+    assert context.call.pieces[0].piece.failure_domain == 'two'
 
 
 @given('members of which the first in rank for a pool answers')
@@ -276,20 +276,20 @@
     context.pool_name = next(
         name
         for name in map(str, range(100))
-        if context.members.find_first(name).instance != 'g0'
+        if context.members.find_highest_ranked(name).instance != 'g0'
     )
-    context.first = context.members.find_first(context.pool_name)
-    context.pings = HostPings(
+    context.first = context.members.find_highest_ranked(context.pool_name)
+    context.pings = HostPinger(
         context=SimpleNamespace(),
         members=context.members,
         announced=None,
-        take_news=lambda _news, _asked_ms: False,
+        apply_update=lambda _news, _asked_ms: False,
     )
 
 
 def _answer(context, *, can_host: bool) -> None:
     state = HostState(instance=context.first.instance, can_host=can_host)
-    context.pings.take_state(context.first, state)
+    context.pings.apply_state(context.first, state)
 
 
 def _find_host(context) -> str:
@@ -333,7 +333,7 @@
     )
     gateway = GatewayContext(
         settings=settings,
-        ask_to_stop=lambda: stops.append(True),
+        request_shutdown=lambda: stops.append(True),
     )
     gateway.spawn_loop(_fail())
     await asyncio.sleep(0)
--- a/tests/features/steps/slow_calls.py
+++ b/tests/features/steps/slow_calls.py
@@ -6,8 +6,8 @@
 
 from ragworthollow.metrics import Metrics
 from ragworthollow.pieces import PieceOutcome, PieceResult
-from ragworthollow.utils import use_monotonic
-from ragworthollow_daemon.gateway.call_outcomes import CallOutcomes
+from ragworthollow.utils import override_clocks
+from ragworthollow_daemon.gateway.call_result_handler import CallResultHandler
 from tests.fixtures.piece_pool import FAR_MS, PiecePool, make_waiting
 
 _DONE = PieceResult(outcome=PieceOutcome.done, handle='10.0.0.1:1/x')
@@ -22,22 +22,22 @@
     context.now_ms = 0
     context.calls_of_slow = []
     described = SimpleNamespace(pieces=context.pool.profile)
-    context.outcomes = CallOutcomes(
+    context.outcomes = CallResultHandler(
         context=SimpleNamespace(
-            book=context.pool.book,
+            load_tracker=context.pool.book,
             metrics=Metrics(),
-            table=SimpleNamespace(pools={'p': described}),
+            route_table=SimpleNamespace(pools={'p': described}),
             directory=SimpleNamespace(
                 get_pool=lambda _: context.pool.instances,
             ),
-            get_budget=lambda _: SimpleNamespace(spend=lambda: True),
-            quarantine=SimpleNamespace(get_left_ms=lambda _: 0),
-            suspect=lambda instance: context.pool.book.note_failure(
+            get_budget=lambda _: SimpleNamespace(withdraw=lambda: True),
+            quarantine=SimpleNamespace(get_remaining_ms=lambda _: 0),
+            mark_suspect=lambda instance: context.pool.book.record_failure(
                 instance.instance,
                 context.now_ms,
             ),
         ),
-        free=lambda *_: None,
+        release=lambda *_: None,
     )
 
 
@@ -45,7 +45,7 @@
 def play(context, span_s):
     """Play calls, their slowness and their ends in steps of time."""
     running = []
-    with use_monotonic(lambda: context.now_ms):
+    with override_clocks(lambda: context.now_ms):
         while context.now_ms < span_s * 1000:
             running = [one for one in running if _advance(context, one)]
             if context.pool.gate.get_depth() < 4:
@@ -64,12 +64,12 @@
     took_ms = context.now_ms - call.started_ms
     if took_ms > 2.5 * call.expected_ms and not one.is_noted:
         one.is_noted = True
-        context.outcomes.note_slow('p', context.pool.gate, call)
+        context.outcomes.record_slow_call('p', context.pool.gate, call)
     if took_ms < call.expected_ms * (context.factor if is_slow else 1):
         return True
     context.pool.gate.finish(call)
-    found = tuple(_DONE for _ in call.waiting)
-    context.outcomes.note_results('p', context.pool.gate, call, found)
+    found = tuple(_DONE for _ in call.pieces)
+    context.outcomes.record_results('p', context.pool.gate, call, found)
     return False
 
 
--- a/tests/features/steps/store_view.py
+++ b/tests/features/steps/store_view.py
@@ -11,7 +11,7 @@
 from measure.fleet_model.virtual_time import run_virtually
 from measure.replica_fleet.store_session import StoreSession
 from ragworthollow.platform import StoreClient
-from ragworthollow.utils import use_monotonic
+from ragworthollow.utils import override_clocks
 from tests.fixtures.store_followers import make_follower
 
 _KEYS = st.sampled_from(('op/config', 'servers/a', 'servers/b'))
@@ -32,16 +32,17 @@
 class _HastyClient(StoreClient):
     """Go on from the revision of the store, whatever was heard."""
 
-    async def read_changes(self, prefix, *, after_revision, longest_bytes):
+    async def read_changes(self, prefix, *, after_revision, max_bytes):
         answer = await super().read_changes(
             prefix,
             after_revision=after_revision,
-            longest_bytes=longest_bytes,
+            max_bytes=max_bytes,
         )
         revision = self.session.revision
         return answer.map(
             lambda changes: (
-                changes and replace(changes, revision=revision, is_whole=True)
+                changes
+                and replace(changes, revision=revision, is_complete=True)
             ),
         )
 
@@ -58,16 +59,16 @@
         )
         self.is_same = True
 
-    def take(self, found, _asked_ms) -> None:
+    def apply_entries(self, found, _asked_ms) -> None:
         held = {key: one.mod_revision for key, one in found.items()}
         there = {key: one['rev'] for key, one in self.session.found.items()}
         self.is_same &= held == there
 
-    def note_lost(self, _detail) -> None:
+    def handle_store_unavailable(self, _detail) -> None:
         """Go on."""
 
     async def play(self, moves) -> None:
-        with use_monotonic(asyncio.get_running_loop().get_ms):
+        with override_clocks(asyncio.get_running_loop().get_ms):
             await self._follower.poll()
             for move, key in moves:
                 await self._make(move, key)
--- a/tests/features/steps/thin_links.py
+++ b/tests/features/steps/thin_links.py
@@ -6,10 +6,12 @@
 from aiohttp import ClientSession, web
 from behave import given, step, then, when
 
-from ragworthollow.configuration.follower import Follower
+from ragworthollow.configuration.configuration_synchronizer import (
+    ConfigurationSynchronizer,
+)
 from ragworthollow.configuration.snapshot import Snapshot
 from ragworthollow.configuration.store import ConfigurationStore
-from ragworthollow.membership import Peers
+from ragworthollow.membership import PeerDirectory
 from ragworthollow.platform import (
     InstanceEntry,
     InstanceList,
@@ -143,10 +145,10 @@
 
 
 async def _pull(session: ClientSession, address: str) -> bool:
-    follower = Follower(
+    follower = ConfigurationSynchronizer(
         key_value=StoreClient(session=session, base_url=f'http://{address}'),
         store=ConfigurationStore(instance='asker'),
-        peers=Peers(
+        peers=PeerDirectory(
             instance='asker',
             failure_domain='one',
             rng=random.Random(1),
