--- a/tests/features/steps/answer_notices.py
+++ b/tests/features/steps/answer_notices.py
@@ -1,4 +1,4 @@
-"""Steps of what instances say of themselves in their answers."""
+"""Steps for the state that instances report in response headers."""
 
 from behave import given, then, when
 
@@ -6,18 +6,20 @@
 from tests.fixtures.staged import NAMES, send_staged
 from tests.standins.upstream import UpstreamStandin
 
-_MOST_TRIES = 40
-_IMPATIENT_MS = 1_500
-_OTHER_PATHS = frozenset(('/api/stage-free', '/api/report'))
-# Reads of the store, whether it answers or not, by all gateways: longer than
-# what one gateway needs to hear from another.
-_READS = 2 * len(NAMES)
-_STARTED_AGAIN_MS = 1_900_000_000_000
+_MAX_ATTEMPTS = 40
+_SHORT_TIMEOUT_MS = 1_500
+_NON_WORK_PATHS = frozenset(('/api/stage-free', '/api/report'))
+# Read attempts of all gateways together, failed reads included.  They take
+# longer than an update needs to reach a gateway from another gateway.
+_STORE_READS = 2 * len(NAMES)
+_RESTARTED_UNIX_MS = 1_900_000_000_000
 
 
-def _count_work(upstream: UpstreamStandin) -> int:
-    """Count arrivals; results may be given up at an instance that leaves."""
-    return sum(one.path not in _OTHER_PATHS for one in upstream.arrivals)
+def _count_work_requests(upstream: UpstreamStandin) -> int:
+    """Count requests for work; releases may reach a leaving instance."""
+    return sum(
+        request.path not in _NON_WORK_PATHS for request in upstream.arrivals
+    )
 
 
 def _get_upstream(context, name: str) -> UpstreamStandin:
@@ -25,30 +27,30 @@
 
 
 @given('the store is away')
-def take_store_away(context):
+def make_store_unavailable(context):
     context.gateway_stage.store.faults.active = {'down': 1}
 
 
 @when('the store is back and was read')
-def bring_store_back(context):
+def restore_store(context):
     stage = context.gateway_stage
     stage.store.faults.active = {}
-    stage.run(stage.wait_reads(_READS))
+    stage.run(stage.wait_reads(_STORE_READS))
 
 
 @given('{name:w} leaves, which only its answers say')
-def leave(context, name):
+def set_leaving(context, name):
     _get_upstream(context, name).notices = {'Server-Leaving': '1'}
 
 
 @given('u1 and u2 leave, which only their answers say')
-def leave_both(context):
-    leave(context, 'u1')
-    leave(context, 'u2')
+def set_both_leaving(context):
+    set_leaving(context, 'u1')
+    set_leaving(context, 'u2')
 
 
 @given('{name:w} refuses and wants nothing for {seconds:g} seconds')
-def want_nothing(context, name, seconds):
+def refuse_with_retry_after(context, name, seconds):
     upstream = _get_upstream(context, name)
     upstream.notices = {'Retry-After': f'{seconds:g}'}
     upstream.is_refusing = True
@@ -61,7 +63,10 @@
     directories = [stage.get_context(name).directory for name in NAMES]
     stage.run(
         stage.wait_for(
-            lambda: all(len(one.get_pool('stage')) == 2 for one in directories),
+            lambda: all(
+                len(directory.get_pool('stage')) == 2
+                for directory in directories
+            ),
         ),
     )
 
@@ -73,33 +78,38 @@
 
 @when('callers post to {path:S} until {name:w} has answered again')
 def send_until_answered_again(context, path, name):
-    _send_until(context, path, name, _count_work(_get_upstream(context, name)))
+    _send_until(
+        context, path, name, _count_work_requests(_get_upstream(context, name))
+    )
 
 
-def _send_until(context, path, name, before) -> None:
+def _send_until(context, path, name, earlier_count) -> None:
     upstream = _get_upstream(context, name)
-    for _ in range(_MOST_TRIES):
-        if _count_work(upstream) > before:
+    for _ in range(_MAX_ATTEMPTS):
+        if _count_work_requests(upstream) > earlier_count:
             break
         _send(context, path, 1)
-    _note_answered(context, name)
+    _record_work_count(context, name)
 
 
-def _note_answered(context, name) -> None:
-    answered = _count_work(_get_upstream(context, name))
-    assert answered
-    context.answered = {**getattr(context, 'answered', {}), name: answered}
+def _record_work_count(context, name) -> None:
+    work_count = _count_work_requests(_get_upstream(context, name))
+    assert work_count
+    context.work_counts = {
+        **getattr(context, 'work_counts', {}),
+        name: work_count,
+    }
 
 
 @when('callers post stage work until {name:w} has answered')
 def send_pieces_until_answered(context, name):
     upstream = _get_upstream(context, name)
     stage = context.gateway_stage
-    for _ in range(_MOST_TRIES):
+    for _ in range(_MAX_ATTEMPTS):
         if upstream.calls:
             break
         stage.run(send_staged(stage, 1, '/staged/answer'))
-    _note_answered(context, name)
+    _record_work_count(context, name)
 
 
 @when('{count:d} more callers post stage work through all gateways')
@@ -109,7 +119,7 @@
 
 
 @when('{count:d} impatient callers post stage work through all gateways')
-def send_impatient(context, count):
+def send_with_short_timeout(context, count):
     stage = context.gateway_stage
     headers = {
         'X-Ragworthollow-Pieces': '1,2',
@@ -121,7 +131,7 @@
                 '/staged/answer',
                 gateway=NAMES[number % len(NAMES)],
                 headers=headers,
-                limit_ms=_IMPATIENT_MS,
+                limit_ms=_SHORT_TIMEOUT_MS,
             ),
         )
         for number in range(count)
@@ -129,7 +139,7 @@
 
 
 @then('no gateway takes another for silent')
-def check_none_silent(context):
+def check_none_unresponsive(context):
     for role in context.gateway_stage.gateways.values():
         assert not any(map(role.members.is_unresponsive, NAMES))
 
@@ -153,13 +163,13 @@
 
 
 @when('the gateways have told each other')
-def wait_told(context):
+def wait_for_updates(context):
     stage = context.gateway_stage
-    stage.run(stage.wait_reads(_READS))
+    stage.run(stage.wait_reads(_STORE_READS))
 
 
 @when('it is under suspicion no more')
-def wait_trusted(context):
+def wait_until_not_suspect(context):
     stage = context.gateway_stage
     record = stage.get_context().load_tracker.get('u1')
     stage.run(
@@ -168,11 +178,11 @@
 
 
 @when('{name:w} has started again and is listed')
-def start_again(context, name):
+def restart_instance(context, name):
     stage = context.gateway_stage
     stage.store.faults.active = {}
     _get_upstream(context, name).notices = {}
-    stage.run(stage.show(name, 'plain', born=_STARTED_AGAIN_MS))
+    stage.run(stage.show(name, 'plain', born=_RESTARTED_UNIX_MS))
     directory = stage.get_context().directory
 
     def is_listed():
@@ -183,7 +193,7 @@
 
 
 @when('{name:w} takes requests again and its time is over')
-def take_again(context, name):
+def resume_requests(context, name):
     stage = context.gateway_stage
     upstream = _get_upstream(context, name)
     upstream.notices = {}
@@ -192,28 +202,32 @@
     stage.run(
         stage.wait_for(
             lambda: any(
-                one.instance == name for one in directory.get_pool('plain')
+                instance.instance == name
+                for instance in directory.get_pool('plain')
             ),
         ),
     )
 
 
 @then('{name:w} has got nothing since its answer')
-def check_nothing(context, name):
+def check_no_new_work(context, name):
     upstream = _get_upstream(context, name)
-    assert _count_work(upstream) == context.answered[name], [
-        (one.path, one.body) for one in upstream.arrivals
+    assert _count_work_requests(upstream) == context.work_counts[name], [
+        (request.path, request.body) for request in upstream.arrivals
     ]
 
 
 @then('{name:w} has got work since its answer')
-def check_work(context, name):
-    assert _count_work(_get_upstream(context, name)) > context.answered[name]
+def check_new_work(context, name):
+    assert (
+        _count_work_requests(_get_upstream(context, name))
+        > context.work_counts[name]
+    )
 
 
 @then('all were served')
 def check_served(context):
-    assert all(answer.status == 200 for answer in context.answers)
+    assert all(response.status == 200 for response in context.answers)
 
 
 @then('the last one was served')
@@ -223,13 +237,13 @@
 
 @then('all were refused as not run')
 def check_refused(context):
-    for answer in context.answers:
-        assert answer.status == 503, answer
-        assert 'Retry-After' in answer.headers, answer
+    for response in context.answers:
+        assert response.status == 503, response
+        assert 'Retry-After' in response.headers, response
 
 
 @then('all were refused as not run, for {least:d} to {most:d} seconds')
 def check_refused_for(context, least, most):
     check_refused(context)
-    for answer in context.answers:
-        assert least <= float(answer.headers['Retry-After']) <= most, answer
+    for response in context.answers:
+        assert least <= float(response.headers['Retry-After']) <= most, response
--- a/tests/features/steps/gateway.py
+++ b/tests/features/steps/gateway.py
@@ -1,4 +1,4 @@
-"""Steps of a gateway before stand-ins of the platform."""
+"""Steps for a gateway in front of stand-ins for the platform."""
 
 import asyncio
 import re
@@ -9,7 +9,7 @@
 from ragworthollow.conf import global_settings
 from ragworthollow.utils import get_boottime_ms
 
-_FORGED = {
+_FORGED_HEADERS = {
     'X-Ragworthollow-Tenant': 'rival',
     'X-Ragworthollow-Hold': 'of-another',
     'X-Ragworthollow-Pin-Ms': '4000',
@@ -52,8 +52,8 @@
 
 @then('it gets status {status:d} and the request has run {runs:d} times')
 def check_status(context, status, runs):
-    answer = context.answer
-    assert answer.status == status, answer
+    response = context.answer
+    assert response.status == status, response
     assert _count_runs(context) == runs, _count_runs(context)
 
 
@@ -65,35 +65,35 @@
 
 
 @when('the second answer has come')
-def wait_second(context):
+def wait_for_second_response(context):
     stage = context.gateway_stage
-    stage.run(stage.wait_for(lambda: _has_unread(stage)))
+    stage.run(stage.wait_for(lambda: _has_unread_bytes(stage)))
 
 
-def _has_unread(stage) -> bool:
-    """Tell whether a kept connection has bytes that nobody asked for."""
+def _has_unread_bytes(stage) -> bool:
+    """Return whether a pooled connection has received unrequested bytes."""
     connector = stage.get_context().upstream_session.connector
     return any(
         protocol.should_close
-        for kept in connector._conns.values()  # noqa: SLF001
-        for protocol, _ in kept
+        for connections in connector._conns.values()  # noqa: SLF001
+        for protocol, _ in connections
     )
 
 
 @then('each of them got its own whole answer')
-def check_own(context):
-    for answer in context.answers:
-        assert answer.status == 200, answer
-        assert answer.body == b'whole answer', answer
-        echoed = answer.headers['X-Ragworthollow-Request-Id']
-        assert echoed == answer.request_id
+def check_own_responses(context):
+    for response in context.answers:
+        assert response.status == 200, response
+        assert response.body == b'whole answer', response
+        echoed = response.headers['X-Ragworthollow-Request-Id']
+        assert echoed == response.request_id
 
 
 @when('a caller forges the headers that the system sets')
-def forge(context):
+def send_forged_headers(context):
     stage = context.gateway_stage
-    sent = stage.send('/unsafe/answer', headers=_FORGED)
-    context.answer = stage.run(sent)
+    sending = stage.send('/unsafe/answer', headers=_FORGED_HEADERS)
+    context.answer = stage.run(sending)
 
 
 @then("the upstream saw the system's own and never the caller's key")
@@ -142,8 +142,10 @@
         upstream.stop_after = count
 
 
-def _get_ids(context) -> list[int]:
-    return [int(found) for found in re.findall(rb'id: (\d+)', _body(context))]
+def _get_event_ids(context) -> list[int]:
+    return [
+        int(event_id) for event_id in re.findall(rb'id: (\d+)', _body(context))
+    ]
 
 
 def _body(context) -> bytes:
@@ -152,27 +154,28 @@
 
 @then('it gets all {count:d} events once, in order, and the end')
 def check_stream(context, count):
-    assert _get_ids(context) == list(range(1, count + 1)), _body(context)
+    assert _get_event_ids(context) == list(range(1, count + 1)), _body(context)
     assert context.answer.is_whole
 
 
 @then('it gets {count:d} events and a broken connection')
-def check_broken(context, count):
-    assert _get_ids(context) == list(range(1, count + 1)), _body(context)
+def check_truncated_stream(context, count):
+    assert _get_event_ids(context) == list(range(1, count + 1)), _body(context)
     assert not context.answer.is_whole
 
 
 @when('a caller leaves while {path} is worked on')
-def leave(context, path):
+def disconnect_caller(context, path):
     stage = context.gateway_stage
-    stage.run(_leave(stage, path))
+    stage.run(_disconnect_caller(stage, path))
 
 
-async def _leave(stage, path):
+async def _disconnect_caller(stage, path):
     sending = asyncio.ensure_future(stage.send(path, request_id='leaver'))
     await stage.wait_for(
         lambda: any(
-            one.count_runs('leaver') for one in stage.upstreams.values()
+            upstream.count_runs('leaver')
+            for upstream in stage.upstreams.values()
         ),
     )
     sending.cancel()
@@ -180,31 +183,32 @@
 
 
 @then('the upstream sees the connection close')
-def check_left(context):
+def check_upstream_disconnected(context):
     stage = context.gateway_stage
     stage.run(
         stage.wait_for(
             lambda: any(
-                'leaver' in one.left for one in stage.upstreams.values()
+                'leaver' in upstream.left
+                for upstream in stage.upstreams.values()
             ),
         ),
     )
 
 
 @when('a caller waits {limit_ms:d} ms for {path}')
-def wait_briefly(context, limit_ms, path):
+def send_with_timeout(context, limit_ms, path):
     stage = context.gateway_stage
     context.answer = stage.run(stage.send(path, limit_ms=limit_ms))
 
 
 @given('instance {name} announces that it leaves')
-def announce(context, name):
+def announce_leaving(context, name):
     stage = context.gateway_stage
     stage.run(stage.show(name, 'plain', 'draining'))
 
 
 @when('the list has been read')
-def wait_read(context):
+def wait_for_instance_list(context):
     stage = context.gateway_stage
     directory = stage.get_context().directory
     stage.run(
@@ -213,19 +217,21 @@
 
 
 @then('instance {name} got none of them')
-def check_none(context, name):
+def check_no_requests(context, name):
     upstream = context.gateway_stage.upstreams[name]
-    sent = {answer.request_id for answer in context.answers}
-    assert not sent & {run.request_id for run in upstream.arrivals}
+    request_ids = {response.request_id for response in context.answers}
+    assert not request_ids & {
+        request.request_id for request in upstream.arrivals
+    }
 
 
 @given('instance {name} was replaced at its address by another one')
-def replace(context, name):
+def replace_instance(context, name):
     context.gateway_stage.upstreams[name].name = 'i-newcomer'
 
 
 @given('the store leaves watches waiting and drops its history')
-def deafen(context):
+def silence_watches(context):
     stage = context.gateway_stage
     stage.store.faults.active = {'deaf': 1}
     stage.store.history.clear()
@@ -241,18 +247,18 @@
 
 
 @then('the gateway serves /new/answer within its bound')
-def check_new(context):
+def check_new_route(context):
     stage = context.gateway_stage
     stage.run(stage.wait_configured())
-    answer = stage.run(stage.send('/new/answer'))
-    assert answer.status == 200, answer
+    response = stage.run(stage.send('/new/answer'))
+    assert response.status == 200, response
 
 
 @when(
     'the operators write version {new:d} '
     'and the store then shows version {old:d}',
 )
-def go_back(context, new, old):
+def revert_version(context, new, old):
     stage = context.gateway_stage
     stage.run(stage.configure(version=new))
     stage.run(stage.wait_configured())
@@ -265,7 +271,7 @@
     assert context.gateway_stage.get_context().route_table.version == version
 
 
-_FAULTS = {
+_STORE_FAULTS = {
     'refuses every call': 'refuse',
     'drops every call': 'down',
     'answers no call': 'mute',
@@ -275,16 +281,16 @@
 @given('a store that {fault}')
 def fail_store(context, fault):
     stage = context.gateway_stage
-    if fault not in _FAULTS:
-        stage.run(_lapse(stage))
+    if fault not in _STORE_FAULTS:
+        stage.run(_expire_entries(stage))
         return
-    stage.store.faults.active = {_FAULTS[fault]: 1}
-    stage.run(stage.wait_for(lambda: _has_event(stage)))
+    stage.store.faults.active = {_STORE_FAULTS[fault]: 1}
+    stage.run(stage.wait_for(lambda: _has_outage_event(stage)))
 
 
-async def _lapse(stage) -> None:
+async def _expire_entries(stage) -> None:
     stage.store.faults.active = {'down': 1}
-    await stage.wait_for(lambda: _has_event(stage))
+    await stage.wait_for(lambda: _has_outage_event(stage))
     for name in stage.upstreams:
         stage.store.entries.pop(f'servers/{name}')
     directory = stage.get_context().directory
@@ -293,13 +299,13 @@
     await stage.wait_for(lambda: directory.updated_ms > earlier_ms)
 
 
-def _has_event(stage) -> bool:
+def _has_outage_event(stage) -> bool:
     rendered = stage.get_context().metrics.render()
     return b'instance_list_unavailable' in rendered
 
 
 @then('the gateway follows changes again after the fault')
-def check_follows(context):
+def check_updates_resume(context):
     stage = context.gateway_stage
     stage.store.faults.active = {}
     stage.run(stage.configure(version=50))
@@ -307,36 +313,36 @@
 
 
 @when('the gateway is asked to stop while requests come')
-def stop(context):
+def stop_gateway(context):
     stage = context.gateway_stage
-    context.stopping = stage.run(_stop(stage))
+    context.stopping = stage.run(_stop_gateway(stage))
 
 
-async def _stop(stage) -> SimpleNamespace:
+async def _stop_gateway(stage) -> SimpleNamespace:
     role = stage.gateways['g1']
     role.begin_shutdown()
     stopping = asyncio.ensure_future(role.stop())
     url = f'http://{role.context.settings.ready_address}/api/ready'
     async with stage.session.get(url) as response:
         readiness = response.status
-    answers = []
+    responses = []
     while not stopping.done():
-        answers.append(await stage.send('/safe/answer'))
-        if len(answers) > global_settings.MAX_IN_FLIGHT:
+        responses.append(await stage.send('/safe/answer'))
+        if len(responses) > global_settings.MAX_IN_FLIGHT:
             break
         await asyncio.sleep(0.1)
-        if len(answers) > 20:
+        if len(responses) > 20:
             break
     await stopping
-    return SimpleNamespace(readiness=readiness, answers=answers)
+    return SimpleNamespace(readiness=readiness, responses=responses)
 
 
 @then('readiness is negative at once and every request is answered whole')
 def check_stop(context):
-    found = context.stopping
-    assert found.readiness == 503
-    assert found.answers
-    assert all(answer.status == 200 for answer in found.answers)
+    outcome = context.stopping
+    assert outcome.readiness == 503
+    assert outcome.responses
+    assert all(response.status == 200 for response in outcome.responses)
 
 
 @when('the gateway is asked to stop in the middle of {path:S}')
@@ -349,7 +355,7 @@
 async def _stop_in_stream(stage, path):
     streaming = asyncio.ensure_future(stage.send(path))
     await stage.wait_for(
-        lambda: any(one.runs for one in stage.upstreams.values()),
+        lambda: any(upstream.runs for upstream in stage.upstreams.values()),
     )
     role = stage.gateways['g1']
     role.begin_shutdown()
@@ -357,10 +363,10 @@
 
 
 @when('the upstream then goes on')
-def go_on(context):
+def resume_upstream(context):
     stage = context.gateway_stage
     stage.run(stage.wait_for(lambda: _is_past_balancer_lag(stage)))
-    # The process ends when its stop does.
+    # The process exits as soon as `role.stop()` returns.
     assert not context.stopping.done()
     for upstream in stage.upstreams.values():
         upstream.may_go_on.set()
@@ -369,10 +375,10 @@
 
 
 def _is_past_balancer_lag(stage) -> bool:
-    """Tell whether the stop waits for nothing but requests in flight."""
-    stop_state = stage.get_context().stop
+    """Return whether the shutdown only waits for requests in flight."""
+    shutdown_state = stage.get_context().stop
     grace_ms = stage.get_context().settings.grace_s * 1000
-    elapsed_ms = grace_ms - stop_state.get_remaining_ms(get_boottime_ms())
+    elapsed_ms = grace_ms - shutdown_state.get_remaining_ms(get_boottime_ms())
     return elapsed_ms > (
         global_settings.GATEWAY_BALANCER_LAG_MS
         + global_settings.GATEWAY_STOP_MARGIN_MS
@@ -381,7 +387,7 @@
 
 
 @when('another gateway starts and is ready')
-def start_another(context):
+def start_another_gateway(context):
     stage = context.gateway_stage
     stage.run(stage.add_gateway('g2'))
     stage.run(stage.wait_configured('g2'))
@@ -390,7 +396,7 @@
 
 
 @then('it has called the store no more than {count:d} times')
-def check_calls(context, count):
-    # Configuration, instances, and a lease, an entry and a list of members.
+def check_store_calls(context, count):
+    # Configuration, instances, a lease, a member record and the member list.
     calls = context.gateway_stage.get_context('g2').store.calls
     assert calls <= count, calls
--- a/tests/features/steps/gateway_fleet.py
+++ b/tests/features/steps/gateway_fleet.py
@@ -1,4 +1,4 @@
-"""Steps of several gateways that share gates and budgets."""
+"""Steps for several gateways that share schedulers and budgets."""
 
 import asyncio
 
@@ -7,7 +7,7 @@
 from ragworthollow.utils import get_boottime_ms
 from tests.fixtures.staged import NAMES, send_staged
 
-_PLAIN = ('u1', 'u2')
+_PLAIN_INSTANCES = ('u1', 'u2')
 
 
 @given('two more gateways and an instance for stage work')
@@ -17,7 +17,7 @@
 
 async def _add_fleet(stage) -> None:
     await stage.add_upstream('s1', 'stage')
-    staged = {
+    staged_route = {
         **stage.configuration['routes'][1],
         'name': 'r-staged',
         'path_prefix': '/staged/',
@@ -28,16 +28,16 @@
             {'backend': 'stage', 'after': [0], 'bytes': 8000},
         ],
     }
-    routes = [*stage.configuration['routes'], staged]
+    routes = [*stage.configuration['routes'], staged_route]
     await stage.configure(version=11, routes=routes)
     for name in NAMES[1:]:
         await stage.add_gateway(name)
     for name in NAMES:
         await stage.wait_configured(name)
-        await _wait_members(stage, name)
+        await _wait_for_members(stage, name)
 
 
-async def _wait_members(stage, name) -> None:
+async def _wait_for_members(stage, name) -> None:
     context = stage.get_context(name)
     await stage.wait_for(
         lambda: (
@@ -48,7 +48,7 @@
 
 
 @given('calls for pieces take {piece_ms:d} ms')
-def slow_down(context, piece_ms):
+def set_piece_duration(context, piece_ms):
     context.gateway_stage.upstreams['s1'].piece_ms = piece_ms
 
 
@@ -67,16 +67,18 @@
 def check_inputs(context):
     stage = context.gateway_stage
     address = stage.upstreams['s1'].address
-    for answer in context.answers:
+    for response in context.answers:
         (run,) = [
             run
-            for name in _PLAIN
+            for name in _PLAIN_INSTANCES
             for run in stage.upstreams[name].runs
-            if run.request_id == answer.request_id
+            if run.request_id == response.request_id
         ]
-        found = run.headers['x-ragworthollow-inputs'].split(',')
-        expected = [f'{address}/{answer.request_id}-{one}' for one in (0, 1)]
-        assert found == expected, run.headers
+        actual = run.headers['x-ragworthollow-inputs'].split(',')
+        expected = [
+            f'{address}/{response.request_id}-{number}' for number in (0, 1)
+        ]
+        assert actual == expected, run.headers
 
 
 @then('there were fewer calls for pieces than pieces')
@@ -88,15 +90,15 @@
 
 
 @then('all results are given up')
-def check_freed(context):
+def check_released(context):
     stage = context.gateway_stage
     upstream = stage.upstreams['s1']
-    made = {
+    handles = {
         f'{upstream.address}/{item["id"]}-{item["piece"]}'
         for call in upstream.calls
         for item in call
     }
-    stage.run(stage.wait_for(lambda: made <= set(upstream.freed)))
+    stage.run(stage.wait_for(lambda: handles <= set(upstream.freed)))
 
 
 @when('a gateway starts')
@@ -106,15 +108,15 @@
 
 
 @then('it is not ready and answers 503')
-def check_unready(context):
+def check_not_ready(context):
     stage = context.gateway_stage
-    assert stage.run(_ask_ready(stage, 'g2')) == 503
-    answer = stage.run(stage.send('/safe/answer', gateway='g2'))
-    assert answer.status == 503, answer
-    assert float(answer.headers['Retry-After']) > 0
+    assert stage.run(_get_ready_status(stage, 'g2')) == 503
+    response = stage.run(stage.send('/safe/answer', gateway='g2'))
+    assert response.status == 503, response
+    assert float(response.headers['Retry-After']) > 0
 
 
-async def _ask_ready(stage, name) -> int:
+async def _get_ready_status(stage, name) -> int:
     address = stage.get_context(name).settings.ready_address
     url = f'http://{address}/api/ready'
     async with stage.session.get(url) as response:
@@ -126,16 +128,16 @@
     stage = context.gateway_stage
     stage.store.faults.active = {}
     stage.run(stage.wait_configured('g2'))
-    assert stage.run(_ask_ready(stage, 'g2')) == 200
-    stage.run(_wait_plain(stage, 'g2'))
-    answer = stage.run(stage.send('/safe/answer', gateway='g2'))
-    assert answer.status == 200, answer
+    assert stage.run(_get_ready_status(stage, 'g2')) == 200
+    stage.run(_wait_for_plain_pool(stage, 'g2'))
+    response = stage.run(stage.send('/safe/answer', gateway='g2'))
+    assert response.status == 200, response
 
 
-async def _wait_plain(stage, name) -> None:
+async def _wait_for_plain_pool(stage, name) -> None:
     directory = stage.get_context(name).directory
     await stage.wait_for(
-        lambda: len(directory.get_pool('plain')) == len(_PLAIN),
+        lambda: len(directory.get_pool('plain')) == len(_PLAIN_INSTANCES),
     )
 
 
@@ -158,9 +160,9 @@
     stage = context.gateway_stage
     for name in NAMES:
         stage.run(stage.wait_configured(name))
-        stage.run(_wait_plain(stage, name))
-    answers = stage.run(send_staged(stage, 6, '/staged/answer'))
-    assert {answer.status for answer in answers} == {200}, answers
+        stage.run(_wait_for_plain_pool(stage, name))
+    responses = stage.run(send_staged(stage, 6, '/staged/answer'))
+    assert {response.status for response in responses} == {200}, responses
 
 
 @then(
@@ -169,31 +171,33 @@
 )
 def check_budget(context, count, slack):
     stage = context.gateway_stage
-    arrivals = sum(len(stage.upstreams[name].arrivals) for name in _PLAIN)
+    arrivals = sum(
+        len(stage.upstreams[name].arrivals) for name in _PLAIN_INSTANCES
+    )
     assert arrivals <= count * 1.2 + slack, arrivals
-    # The budget is there to be used: a failing instance is not the end.
+    # The budget must be used: a failing instance must not end a request.
     assert arrivals > count, arrivals
 
 
 @given('a gateway with {grace_s:d} s between TERM and its end')
-def add_brief(context, grace_s):
+def add_gateway_with_grace_time(context, grace_s):
     stage = context.gateway_stage
     stage.run(stage.add_gateway('g2', grace_s=grace_s))
     stage.run(stage.wait_configured('g2'))
-    stage.run(_wait_plain(stage, 'g2'))
+    stage.run(_wait_for_plain_pool(stage, 'g2'))
 
 
 @when('it is asked to stop while a caller waits for {path:S}')
-def stop_brief(context, path):
+def stop_during_request(context, path):
     context.waiting, context.stopping = context.gateway_stage.run(
-        _stop_brief(context.gateway_stage, path),
+        _stop_during_request(context.gateway_stage, path),
     )
 
 
-async def _stop_brief(stage, path):
+async def _stop_during_request(stage, path):
     waiting = asyncio.ensure_future(stage.send(path, gateway='g2'))
     await stage.wait_for(
-        lambda: any(stage.upstreams[name].runs for name in _PLAIN),
+        lambda: any(stage.upstreams[name].runs for name in _PLAIN_INSTANCES),
     )
     role = stage.gateways['g2']
     role.begin_shutdown()
@@ -201,19 +205,19 @@
 
 
 @when('a stream is asked for late in the stop')
-def ask_late(context):
-    context.late = context.gateway_stage.run(
-        _ask_late(context.gateway_stage),
+def request_late_stream(context):
+    context.late_response = context.gateway_stage.run(
+        _request_late_stream(context.gateway_stage),
     )
 
 
-async def _ask_late(stage):
-    stop = stage.get_context('g2').stop
+async def _request_late_stream(stage):
+    shutdown_state = stage.get_context('g2').stop
     route = stage.get_context('g2').route_table.match(
         'service.example', '/stream/'
     )
     await stage.wait_for(
-        lambda: not stop.accepts(route, 1000, get_boottime_ms()),
+        lambda: not shutdown_state.accepts(route, 1000, get_boottime_ms()),
     )
     return await stage.send('/stream/stream', gateway='g2')
 
@@ -222,10 +226,10 @@
     'the stream was refused as not run '
     'and the waiting caller got status {status:d}',
 )
-def check_brief(context, status):
+def check_shutdown_responses(context, status):
     stage = context.gateway_stage
-    assert context.late.status == 503, context.late
-    assert float(context.late.headers['Retry-After']) > 0
+    assert context.late_response.status == 503, context.late_response
+    assert float(context.late_response.headers['Retry-After']) > 0
     stage.run(asyncio.wait_for(context.stopping, 20))
-    found = stage.run(asyncio.wait_for(context.waiting, 20))
-    assert found.status == status, found
+    response = stage.run(asyncio.wait_for(context.waiting, 20))
+    assert response.status == status, response
--- a/tests/features/steps/late_service.py
+++ b/tests/features/steps/late_service.py
@@ -1,4 +1,4 @@
-"""Steps of requests that are deferred, and of first configurations."""
+"""Steps for deferred requests and for the initial configuration."""
 
 import asyncio
 from types import SimpleNamespace
@@ -26,19 +26,19 @@
 _PRIORITIES = (2, 0, 1)
 
 
-class _Stage:
-    """Hold a deferral on a loop in virtual time."""
+class _DeferralStage:
+    """Run a deferral queue on an event loop in virtual time."""
 
     def __init__(self) -> None:
         self.loop = VirtualLoop()
-        self.capacity_ms = float('inf')
-        self.instances_ms = 0
-        self.turns = {}
+        self.capacity_from_ms = float('inf')
+        self.instances_from_ms = 0
+        self.decisions = {}
         context = SimpleNamespace(
             metrics=Metrics(),
             directory=SimpleNamespace(get_pool=self._get_pool),
         )
-        self.deferral = DeferralQueue(
+        self.queue = DeferralQueue(
             context=context,
             get_waits_ms=lambda pools, _: dict.fromkeys(pools, 0),
         )
@@ -50,144 +50,157 @@
         with use_monotonic(self.get_ms):
             return self.loop.run_until_complete(coroutine)
 
-    async def defer(self, name: str, latest_ms: float, priority: int) -> None:
-        """Defer a request, and note when and how that ended."""
+    async def defer(
+        self, name: str, latest_start_ms: float, priority: int
+    ) -> None:
+        """Defer a request; record the decision and its time in ms."""
         job = SimpleNamespace(
             pool='engines',
             request_parameters=SimpleNamespace(request_id=name),
             route=SimpleNamespace(name='r', stages=(), objective_ms=1000),
             get_priority=lambda: priority,
         )
-        way = SimpleNamespace(
-            get_latest_start_ms=lambda: latest_ms,
-            estimate_lateness_if_new_ms=self._find_lateness,
+        estimate = SimpleNamespace(
+            get_latest_start_ms=lambda: latest_start_ms,
+            estimate_lateness_if_new_ms=self._estimate_lateness_ms,
         )
-        may_begin = await self.deferral.wait(job, way)
-        self.turns[name] = (may_begin, round(self.get_ms()))
+        may_begin = await self.queue.wait(job, estimate)
+        self.decisions[name] = (may_begin, round(self.get_ms()))
 
     async def advance(self, until_ms: float) -> None:
-        """Let the deferral advance as a gateway does."""
+        """Start ready requests at the interval that a gateway uses."""
         while self.get_ms() < until_ms:
-            self.deferral.start_ready()
+            self.queue.start_ready()
             await asyncio.sleep(global_settings.GATE_TICK_MS / 1000)
 
-    async def play(self, *deferred, until_ms: float = 6000) -> None:
-        sending = [asyncio.ensure_future(one) for one in deferred]
+    async def play(self, *deferred, duration_ms: float = 6000) -> None:
+        tasks = [asyncio.ensure_future(coroutine) for coroutine in deferred]
         await asyncio.sleep(0)
-        await self.advance(self.get_ms() + until_ms)
-        await asyncio.gather(*sending)
+        await self.advance(self.get_ms() + duration_ms)
+        await asyncio.gather(*tasks)
 
     def _get_pool(self, _pool):
-        return ('i1',) if self.get_ms() >= self.instances_ms else ()
+        return ('i1',) if self.get_ms() >= self.instances_from_ms else ()
 
-    def _find_lateness(self, _waits_ms, now_ms) -> float:
-        return -1000 if now_ms >= self.capacity_ms else 1000
+    def _estimate_lateness_ms(self, _waits_ms, now_ms) -> float:
+        return -1000 if now_ms >= self.capacity_from_ms else 1000
 
 
 @given('a request deferred at 0 ms that must begin by {latest_ms:d} ms')
 def defer_one(context, latest_ms):
-    context.stage = _Stage()
-    context.latest_ms = latest_ms
+    context.stage = _DeferralStage()
+    context.latest_start_ms = latest_ms
 
 
-def _play_one(context) -> None:
+def _run_one_request(context) -> None:
     stage = context.stage
-    stage.run(stage.play(stage.defer('one', context.latest_ms, 0)))
+    stage.run(stage.play(stage.defer('one', context.latest_start_ms, 0)))
 
 
 @when('the pools have capacity from {from_ms:d} ms on')
-def have_capacity(context, from_ms):
-    context.stage.capacity_ms = from_ms
-    _play_one(context)
+def set_capacity_start(context, from_ms):
+    context.stage.capacity_from_ms = from_ms
+    _run_one_request(context)
 
 
 @when('the pools never have capacity')
-def have_none(context):
-    _play_one(context)
+def run_without_capacity(context):
+    _run_one_request(context)
 
 
 @when('its pool has no instance until {from_ms:d} ms')
-def have_no_instance(context, from_ms):
-    context.stage.capacity_ms = 0
-    context.stage.instances_ms = from_ms
-    _play_one(context)
+def set_instances_start(context, from_ms):
+    context.stage.capacity_from_ms = 0
+    context.stage.instances_from_ms = from_ms
+    _run_one_request(context)
 
 
 @then('its turn comes at {at_ms:d} ms')
-def check_begun(context, at_ms):
-    assert context.stage.turns['one'] == (True, at_ms), context.stage.turns
+def check_started(context, at_ms):
+    assert context.stage.decisions['one'] == (True, at_ms), (
+        context.stage.decisions
+    )
 
 
 @then('its refusal comes at {at_ms:d} ms')
 def check_refused(context, at_ms):
-    if not context.stage.turns:
-        _play_one(context)
-    assert context.stage.turns['one'] == (False, at_ms), context.stage.turns
+    if not context.stage.decisions:
+        _run_one_request(context)
+    assert context.stage.decisions['one'] == (False, at_ms), (
+        context.stage.decisions
+    )
 
 
 @given('deferred requests of priorities 2, 0 and 1')
 def defer_three(context):
-    context.stage = _Stage()
+    context.stage = _DeferralStage()
 
 
 @when('the pools have capacity')
-def let_begin(context):
+def start_in_order(context):
     stage = context.stage
-    stage.capacity_ms = 0
+    stage.capacity_from_ms = 0
     stage.run(
-        stage.play(*(stage.defer(f'{one}', 4000, one) for one in _PRIORITIES)),
+        stage.play(
+            *(
+                stage.defer(f'{priority}', 4000, priority)
+                for priority in _PRIORITIES
+            )
+        ),
     )
 
 
 @then('they begin in the order 0, 1, 2 with a ping between them')
-def check_pace(context):
-    turns = context.stage.turns
-    assert list(turns) == ['0', '1', '2'], turns
-    starts = [at_ms for _, at_ms in turns.values()]
+def check_start_order(context):
+    decisions = context.stage.decisions
+    assert list(decisions) == ['0', '1', '2'], decisions
+    starts = [at_ms for _, at_ms in decisions.values()]
     ping_ms = global_settings.HOST_PING_MS
-    pauses = [later - earlier for earlier, later in zip(starts, starts[1:])]
-    assert min(pauses) >= ping_ms, turns
+    intervals_ms = [
+        later - earlier for earlier, later in zip(starts, starts[1:])
+    ]
+    assert min(intervals_ms) >= ping_ms, decisions
 
 
 @given('a pool that is short for {span_s:d} s, with 8 late requests a second')
-def be_short(context, span_s):
-    context.stage = _Stage()
-    context.stage.run(_come_in_vain(context.stage, span_s * 1000))
+def run_lasting_shortage(context, span_s):
+    context.stage = _DeferralStage()
+    context.stage.run(_run_lasting_shortage(context.stage, span_s * 1000))
 
 
-async def _come_in_vain(stage: _Stage, span_ms: float) -> None:
-    sending = []
+async def _run_lasting_shortage(stage: _DeferralStage, span_ms: float) -> None:
+    tasks = []
     while stage.get_ms() < span_ms:
         for number in range(4):
             now_ms = stage.get_ms()
             name = f'{now_ms}/{number}'
-            one = stage.defer(name, now_ms + 2000, 0)
-            sending.append(asyncio.ensure_future(one))
+            request = stage.defer(name, now_ms + 2000, 0)
+            tasks.append(asyncio.ensure_future(request))
         await stage.advance(stage.get_ms() + 500)
     await stage.advance(stage.get_ms() + 3000)
-    await asyncio.gather(*sending)
+    await asyncio.gather(*tasks)
 
 
 @then('of the last half at most one in ten was deferred in vain')
-def check_at_once(context):
-    turns = list(context.stage.turns.items())
+def check_few_deferred(context):
+    decisions = list(context.stage.decisions.items())
     waited = [
         name
-        for name, (_, ended_ms) in turns
+        for name, (_, ended_ms) in decisions
         if ended_ms - float(name.partition('/')[0]) >= 500
         and float(name.partition('/')[0]) > context.stage.get_ms() / 2
     ]
-    assert len(waited) <= len(turns) / 2 / 10, (len(waited), len(turns))
+    assert len(waited) <= len(decisions) / 2 / 10, (len(waited), len(decisions))
 
 
 @then('{pause_s:d} s later one is deferred again')
 def check_deferred_again(context, pause_s):
     stage = context.stage
     stage.run(stage.advance(stage.get_ms() + pause_s * 1000))
-    stage.capacity_ms = stage.get_ms() + 500
+    stage.capacity_from_ms = stage.get_ms() + 500
     again = stage.defer('again', stage.get_ms() + 2000, 0)
-    stage.run(stage.play(again, until_ms=3000))
-    assert stage.turns['again'][0], stage.turns['again']
+    stage.run(stage.play(again, duration_ms=3000))
+    assert stage.decisions['again'][0], stage.decisions['again']
 
 
 @when(
@@ -215,7 +228,7 @@
 
 
 def _count_unserved(days) -> int:
-    return sum(one.took_ms is None for day in days for one in day.records)
+    return sum(record.took_ms is None for day in days for record in day.records)
 
 
 def _sum_attained(days) -> float:
@@ -224,9 +237,12 @@
 
 @then('at most half as many requests are unserved with it')
 def check_unserved(context):
-    few = _count_unserved(context.with_deferral)
-    many = _count_unserved(context.without)
-    assert few <= many / 2, (few, many)
+    with_deferral = _count_unserved(context.with_deferral)
+    without_deferral = _count_unserved(context.without)
+    assert with_deferral <= without_deferral / 2, (
+        with_deferral,
+        without_deferral,
+    )
 
 
 @then('no less of the worth is attained')
@@ -237,25 +253,25 @@
 
 @given('a process without a configuration')
 def make_unconfigured(context):
-    context.stage = _Stage()
-    waiting = asyncio.Event()
+    context.stage = _DeferralStage()
+    has_route_table = asyncio.Event()
 
     def set_route_table(table) -> None:
         context.owner.route_table = table
-        waiting.set()
+        has_route_table.set()
 
     async def wait_for_route_table(timeout_ms) -> None:
         await GatewayContext.wait_for_route_table(context.owner, timeout_ms)
 
     context.owner = SimpleNamespace(
         route_table=None,
-        _has_route_table=waiting,
+        _has_route_table=has_route_table,
         set_route_table=set_route_table,
         wait_for_route_table=wait_for_route_table,
     )
 
 
-def _ask(context, limit_ms: int, after_ms: int | None):
+def _admit_request(context, limit_ms: int, after_ms: int | None):
     admission = Admission(context=context.owner)
     request = SimpleNamespace(
         headers={'X-Ragworthollow-Deadline-Ms': f'{limit_ms}', 'Host': 'h'},
@@ -263,7 +279,7 @@
         remote='127.0.0.1',
     )
 
-    async def ask():
+    async def admit():
         if after_ms is not None:
             table = SimpleNamespace(match=lambda *_: None)
             loop = asyncio.get_running_loop()
@@ -272,24 +288,24 @@
             )
         return await admission.admit(request, 0)
 
-    context.answer = context.stage.run(ask())
+    context.answer = context.stage.run(admit())
 
 
 @when(
     'a request comes with {limit_ms:d} ms '
     'and the configuration {after_ms:d} ms later',
 )
-def ask_early(context, limit_ms, after_ms):
-    _ask(context, limit_ms, after_ms)
+def request_before_configuration(context, limit_ms, after_ms):
+    _admit_request(context, limit_ms, after_ms)
 
 
 @when('a request comes with {limit_ms:d} ms and no configuration does')
-def ask_in_vain(context, limit_ms):
-    _ask(context, limit_ms, None)
+def request_without_configuration(context, limit_ms):
+    _admit_request(context, limit_ms, None)
 
 
 @then('the request is judged by that configuration')
-def check_judged(context):
+def check_configuration_applied(context):
     assert isinstance(context.answer, Err)
     assert context.answer.err_value.reason is Reason.unknown_route
 
--- a/tests/features/steps/lost_calls.py
+++ b/tests/features/steps/lost_calls.py
@@ -1,4 +1,4 @@
-"""Steps of calls, results and gateways that are lost."""
+"""Steps for lost calls, results and gateways."""
 
 import asyncio
 from types import SimpleNamespace
@@ -29,8 +29,8 @@
     make_waiting,
 )
 
-_SAYS = {'works on nothing': False, 'works': True}
-_ANSWER_MS = 2_000
+_REPORTED_BUSY = {'works on nothing': False, 'works': True}
+_RESPONSE_MS = 2_000
 
 
 @given('a call that is overdue')
@@ -44,53 +44,54 @@
     )
 
 
-def _watch(context, is_working) -> None:
-    async def ask(*_):
-        return is_working
+def _monitor_call(context, is_busy) -> None:
+    async def query(*_):
+        return is_busy
 
-    async def follow():
-        context.slow = []
-        sending = asyncio.ensure_future(asyncio.sleep(_ANSWER_MS / 1000))
-        watch = CallMonitor(context=None, query=ask)
-        context.is_lost = await watch.monitor(
+    async def monitor():
+        context.slow_reports_ms = []
+        response = asyncio.ensure_future(asyncio.sleep(_RESPONSE_MS / 1000))
+        call_monitor = CallMonitor(context=None, query=query)
+        context.is_lost = await call_monitor.monitor(
             context.call,
-            sending,
-            lambda: context.slow.append(context.loop.get_ms()),
+            response,
+            lambda: context.slow_reports_ms.append(context.loop.get_ms()),
         )
-        context.is_answered = sending.done()
-        sending.cancel()
+        context.has_response = response.done()
+        response.cancel()
 
     with use_monotonic(context.loop.get_ms):
-        context.loop.run_until_complete(follow())
+        context.loop.run_until_complete(monitor())
     context.ended_ms = context.loop.get_ms()
 
 
 @when('its instance says that it {state}')
-def say(context, state):
-    _watch(context, _SAYS[state])
+def report_busy_state(context, state):
+    _monitor_call(context, _REPORTED_BUSY[state])
 
 
 @when('its instance does not say')
-def say_nothing(context):
-    _watch(context, None)
+def report_nothing(context):
+    _monitor_call(context, None)
 
 
 @then('the call is given up as lost')
 def check_lost(context):
     assert context.is_lost
-    # Asked once it is a quarter overdue, and an answer may be under way.
+    # Queried once the call is a quarter overdue; the 50 ms are for a response
+    # that may still be in transit.
     assert context.ended_ms == 300 * 1.25 + 50, context.ended_ms
 
 
 @then('the call is noted as slow once and ends with its answer')
 def check_slow(context):
     assert not context.is_lost
-    assert context.is_answered
-    (noted_ms,) = context.slow
-    assert 300 * 2.5 <= noted_ms < 300 * 3.5, noted_ms
+    assert context.has_response
+    (reported_ms,) = context.slow_reports_ms
+    assert 300 * 2.5 <= reported_ms < 300 * 3.5, reported_ms
 
 
-def _make_outcomes(pool: PiecePool) -> CallResultHandler:
+def _make_result_handler(pool: PiecePool) -> CallResultHandler:
     return CallResultHandler(
         context=SimpleNamespace(
             load_tracker=pool.book,
@@ -100,7 +101,9 @@
             ),
             directory=SimpleNamespace(get_pool=lambda _: pool.instances),
             get_budget=lambda _: SimpleNamespace(withdraw=lambda: True),
-            mark_suspect=lambda one: pool.book.record_failure(one.instance, 0),
+            mark_suspect=lambda instance: pool.book.record_failure(
+                instance.instance, 0
+            ),
             quarantine=SimpleNamespace(get_remaining_ms=lambda _: 0),
         ),
         release=lambda *_: None,
@@ -108,7 +111,7 @@
 
 
 @when('the answer to a call of {count:d} pieces is lost')
-def lose_answer(context, count):
+def lose_response(context, count):
     context.pool = PiecePool(1, 4)
     for _ in range(count):
         context.pool.gate.submit(make_waiting(5000))
@@ -121,7 +124,7 @@
         peer='i0',
     )
     with use_monotonic(VirtualLoop().get_ms):
-        _make_outcomes(context.pool).record_failure(
+        _make_result_handler(context.pool).record_failure(
             'p',
             context.pool.gate,
             call,
@@ -142,13 +145,13 @@
 
 
 @given('a gateway with {count:d} results of its requests at this host')
-def make_asker(context, count):
-    context.askers = RequesterTracker()
-    context.askers.record_ping('g2', 'earlier', 0)
+def make_requester(context, count):
+    context.requester_tracker = RequesterTracker()
+    context.requester_tracker.record_ping('g2', 'earlier', 0)
     context.pool = PiecePool(1, 4)
-    gate = context.pool.gate
+    scheduler = context.pool.gate
     for number in range(count):
-        gate.result_space.add(
+        scheduler.result_space.add(
             StoredResult(
                 handle=f'h{number}',
                 instance='i0',
@@ -158,37 +161,37 @@
             ),
         )
     context.waiting = make_waiting(5000, requester='earlier')
-    gate.submit(context.waiting)
+    scheduler.submit(context.waiting)
 
 
 @when('another process of its name pings this host')
-def ping_anew(context):
-    context.askers.record_ping('g2', 'later', 100)
+def ping_from_new_incarnation(context):
+    context.requester_tracker.record_ping('g2', 'later', 100)
 
 
 @then('its results are given up and its pieces are wanted no more')
-def check_given_up(context):
-    (gone,) = context.askers.pop_terminated(100)
-    gate = context.pool.gate
-    assert gate.result_space.find_handles(gone) == ('h0', 'h1')
-    gate.cancel_requester(gone)
+def check_released(context):
+    (terminated,) = context.requester_tracker.pop_terminated(100)
+    scheduler = context.pool.gate
+    assert scheduler.result_space.find_handles(terminated) == ('h0', 'h1')
+    scheduler.cancel_requester(terminated)
     assert not context.waiting.is_awaited
-    assert not context.askers.pop_terminated(100)
+    assert not context.requester_tracker.pop_terminated(100)
 
 
 @then('it counts as gone only after more than a second of silence')
-def check_silence(context):
-    assert not context.askers.pop_terminated(1000)
-    context.askers.record_ping('g2', 'earlier', 1000)
-    assert not context.askers.pop_terminated(2000)
-    assert context.askers.pop_terminated(2001) == ['earlier']
+def check_terminated_when_silent(context):
+    assert not context.requester_tracker.pop_terminated(1000)
+    context.requester_tracker.record_ping('g2', 'earlier', 1000)
+    assert not context.requester_tracker.pop_terminated(2000)
+    assert context.requester_tracker.pop_terminated(2001) == ['earlier']
 
 
 @given('results of which 2 of 3 are still held')
 def hold_results(context):
-    context.held = ResultsInUse()
+    context.results_in_use = ResultsInUse()
     for handle in ('a', 'b', 'c'):
-        context.held.add(
+        context.results_in_use.add(
             'p',
             [
                 StoredResult(
@@ -199,22 +202,23 @@
                 ),
             ],
         )
-    context.held.remove('p', ['b'])
-    # The host that made them knows of them.
-    assert not context.held.collect_for_host('p', 'host', 0)
+    context.results_in_use.remove('p', ['b'])
+    # The host that scheduled their calls has recorded them already.
+    assert not context.results_in_use.collect_for_host('p', 'host', 0)
 
 
 @when('the gate has another host')
 def change_host(context):
-    context.told = [
-        context.held.collect_for_host('p', 'next', 0) for _ in range(2)
+    context.reported_results = [
+        context.results_in_use.collect_for_host('p', 'next', 0)
+        for _ in range(2)
     ]
 
 
 @then('that host is told of 2 results, and of none the next time')
-def check_told(context):
-    first, second = context.told
-    assert [one.handle for one in first] == ['a', 'c'], first
+def check_reported(context):
+    first, second = context.reported_results
+    assert [result.handle for result in first] == ['a', 'c'], first
     assert not second
 
 
@@ -224,7 +228,7 @@
 
 
 @when('8 pieces of both domains wait, those of each due in turn')
-def wait_in_turn(context):
+def queue_alternating_domains(context):
     for number in range(8):
         domain = ('one', 'two')[number % 2]
         context.pool.gate.submit(
@@ -234,24 +238,24 @@
 
 
 @then('each call carries the pieces of its own domain')
-def check_own(context):
+def check_own_domain(context):
     assert len(context.calls) == 2
     for call in context.calls:
-        domains = {one.piece.failure_domain for one in call.pieces}
+        domains = {waiting.piece.failure_domain for waiting in call.pieces}
         assert domains == {call.instance.failure_domain}, domains
         assert len(call.pieces) == 4
 
 
 @when('the near instance is busy and a piece for it is due at once')
-def make_urgent(context):
-    gate = context.pool.gate
+def queue_urgent_piece(context):
+    scheduler = context.pool.gate
     for number in range(4):
-        gate.submit(make_waiting(number, failure_domain='two'))
+        scheduler.submit(make_waiting(number, failure_domain='two'))
     (busy,) = context.pool.plan()
     assert busy.instance.failure_domain == 'two'
-    gate.submit(make_waiting(20, failure_domain='two'))
+    scheduler.submit(make_waiting(20, failure_domain='two'))
     for number in range(4):
-        gate.submit(make_waiting(30 + number, failure_domain='one'))
+        scheduler.submit(make_waiting(30 + number, failure_domain='one'))
     (context.call,) = context.pool.plan(1)
 
 
@@ -279,17 +283,17 @@
         if context.members.find_highest_ranked(name).instance != 'g0'
     )
     context.first = context.members.find_highest_ranked(context.pool_name)
-    context.pings = HostPinger(
+    context.host_pinger = HostPinger(
         context=SimpleNamespace(),
         members=context.members,
         announced=None,
-        apply_update=lambda _news, _asked_ms: False,
+        apply_update=lambda _update, _sent_ms: False,
     )
 
 
-def _answer(context, *, can_host: bool) -> None:
+def _apply_host_state(context, *, can_host: bool) -> None:
     state = HostState(instance=context.first.instance, can_host=can_host)
-    context.pings.apply_state(context.first, state)
+    context.host_pinger.apply_state(context.first, state)
 
 
 def _find_host(context) -> str:
@@ -298,30 +302,30 @@
 
 
 @when('it says that it knows no instances')
-def say_blind(context):
-    _answer(context, can_host=True)
+def report_no_instances(context):
+    _apply_host_state(context, can_host=True)
     assert _find_host(context) == context.first.instance
-    _answer(context, can_host=False)
+    _apply_host_state(context, can_host=False)
 
 
 @then('the next in rank hosts the gate')
-def check_next(context):
+def check_next_host(context):
     assert _find_host(context) != context.first.instance
 
 
 @then('it hosts it again when it knows them')
-def check_again(context):
-    _answer(context, can_host=True)
+def check_first_host(context):
+    _apply_host_state(context, can_host=True)
     assert _find_host(context) == context.first.instance
 
 
 @when('the loop of a gateway that follows the store ends by an error')
 def end_loop(context):
-    context.stops = []
-    asyncio.run(_end_loop(context.stops))
+    context.shutdown_requests = []
+    asyncio.run(_end_loop(context.shutdown_requests))
 
 
-async def _end_loop(stops: list[bool]) -> None:
+async def _end_loop(shutdown_requests: list[bool]) -> None:
     settings = GatewaySettings(
         role='gateway',
         instance='g1',
@@ -333,7 +337,7 @@
     )
     gateway = GatewayContext(
         settings=settings,
-        request_shutdown=lambda: stops.append(True),
+        request_shutdown=lambda: shutdown_requests.append(True),
     )
     gateway.spawn_loop(_fail())
     await asyncio.sleep(0)
@@ -346,5 +350,5 @@
 
 
 @then('the gateway asks to be stopped')
-def check_stopped(context):
-    assert context.stops == [True]
+def check_shutdown_requested(context):
+    assert context.shutdown_requests == [True]
--- a/tests/features/steps/piece_space.py
+++ b/tests/features/steps/piece_space.py
@@ -1,4 +1,4 @@
-"""Steps of the space for results, and of where and when it is taken."""
+"""Steps for result space: where and when results occupy it."""
 
 from behave import given, then, when
 
@@ -18,7 +18,7 @@
 
 
 @given('another gate of the pool told of a call that counts for {left_ms:d} ms')
-def run_foreign(context, left_ms):
+def record_remote_call(context, left_ms):
     call = RemoteCall(
         instance='i0',
         result_bytes=RESULT_BYTES,
@@ -28,7 +28,7 @@
 
 
 @then('no call is made at {early:d} ms and one at {late:d} ms')
-def check_foreign(context, early, late):
+def check_remote_call(context, early, late):
     context.pool.gate.submit(make_waiting(5000))
     assert not context.pool.plan(early)
     (call,) = context.pool.plan(late)
@@ -36,10 +36,10 @@
 
 
 @when('a result is freed before the gate that had it made tells of it')
-def free_early(context):
-    gate = context.pool.gate
-    assert not gate.result_space.release('h0', 0)
-    gate.result_space.add(
+def release_early(context):
+    scheduler = context.pool.gate
+    assert not scheduler.result_space.release('h0', 0)
+    scheduler.result_space.add(
         StoredResult(
             handle='h0',
             instance='i0',
@@ -58,7 +58,7 @@
     'a stage has {inputs:d} kB to read in domain one '
     'and {outputs:d} kB to hand to domain two',
 )
-def weigh(context, inputs, outputs):
+def choose_domain(context, inputs, outputs):
     context.domain = choose_local_domain(
         {'one': inputs * 1e3, 'two': outputs * 1e3}
     )
@@ -73,15 +73,15 @@
     '{count:d} pieces wait and one is worked off '
     'every {pace_ms:d} ms for {span_s:d} s',
 )
-def work_off(context, count, pace_ms, span_s):
-    gate = context.pool.gate
+def process_pieces(context, count, pace_ms, span_s):
+    scheduler = context.pool.gate
     for number in range(count):
-        gate.submit(make_waiting(FAR_MS + number))
+        scheduler.submit(make_waiting(FAR_MS + number))
     context.now_ms = 0
     while context.now_ms < span_s * 1000:
         (call,) = context.pool.plan(context.now_ms)
         context.now_ms += pace_ms
-        gate.finish(call)
+        scheduler.finish(call)
 
 
 @then('a new one expects to wait for more than {least_ms:d} ms')
@@ -98,7 +98,7 @@
 @when(
     'requests of {first:d}, {second:d} and {third:d} pieces wait in this order'
 )
-def bring_stages(context, first, second, third):
+def queue_requests(context, first, second, third):
     for order, count in enumerate((first, second, third)):
         stage_run = StageRun()
         for number in range(count):
@@ -114,8 +114,8 @@
 
 
 @then('the call carries the pieces of those of {first:d} and {last:d}')
-def check_whole(context, first, last):
-    carried = [one.piece.request_id for one in context.call.pieces]
+def check_complete_requests(context, first, last):
+    carried = [waiting.piece.request_id for waiting in context.call.pieces]
     assert carried.count('r0') == first, carried
     assert carried.count('r2') == last, carried
     assert len(carried) == first + last, carried
@@ -129,7 +129,7 @@
 
 
 @when('1 piece for its own domain and 1 for another that is idle soon wait')
-def wait_for_domains(context):
+def queue_for_two_domains(context):
     pool = PiecePool(2, 4)
     pool.gate.submit(make_waiting(100, failure_domain='two'))
     (busy,) = pool.plan()
--- a/tests/features/steps/pieces.py
+++ b/tests/features/steps/pieces.py
@@ -1,4 +1,4 @@
-"""Steps of the gates that fill calls with pieces."""
+"""Steps for the schedulers that batch pieces into calls."""
 
 from behave import given, then, when
 from hypothesis import given as for_all
@@ -26,17 +26,17 @@
 
 
 @given('a pool of 2 instances in domains one and two with calls of 1 piece')
-def make_two(context):
+def make_two_domains(context):
     context.pool = PiecePool(2, 1)
 
 
 @given('space for {results:d} results at each instance')
-def limit_space(context, results):
+def limit_result_space(context, results):
     context.pool.profile = make_profile(4, results)
 
 
 @when('{count:d} requests bring 1 piece each')
-def bring(context, count):
+def queue_pieces(context, count):
     for number in range(count):
         context.pool.gate.submit(make_waiting(500 + number))
     context.calls = context.pool.plan()
@@ -49,7 +49,7 @@
 
 
 @when('pieces due in {first:d}, {second:d} and {third:d} ms wait')
-def wait_three(context, first, second, third):
+def queue_three_pieces(context, first, second, third):
     for due_ms in (first, second, third):
         context.pool.gate.submit(make_waiting(due_ms))
     context.order = context.pool.run_all()
@@ -59,7 +59,7 @@
     'a piece of priority {low:d} due in {early:d} ms '
     'and one of priority {high:d} due in {late:d} ms wait',
 )
-def wait_ranked(context, low, early, high, late):
+def queue_by_priority(context, low, early, high, late):
     context.pool.gate.submit(make_waiting(early, priority=low))
     context.pool.gate.submit(make_waiting(late, priority=high))
     context.order = context.pool.run_all()
@@ -74,38 +74,38 @@
 @when(
     'a request of 3 pieces due in 900 ms has begun and others due earlier come'
 )
-def begin(context):
+def start_request(context):
     stage_run = StageRun()
-    gate = context.pool.gate
+    scheduler = context.pool.gate
     for number in range(3):
-        gate.submit(make_waiting(900, number=number, stage_run=stage_run))
+        scheduler.submit(make_waiting(900, number=number, stage_run=stage_run))
     (call,) = context.pool.plan()
     for due_ms in (100, 200, 300):
-        gate.submit(make_waiting(due_ms))
-    gate.finish(call)
+        scheduler.submit(make_waiting(due_ms))
+    scheduler.finish(call)
     (context.call,) = context.pool.plan()
 
 
 @then('its last piece is in the next call')
-def check_begun(context):
-    dues = [one.piece.due_ms for one in context.call.pieces]
-    assert dues == [900, 100], dues
+def check_next_call(context):
+    due_times_ms = [waiting.piece.due_ms for waiting in context.call.pieces]
+    assert due_times_ms == [900, 100], due_times_ms
 
 
 @then('one call carries {count:d} pieces and {left:d} wait')
-def check_space(context, count, left):
+def check_call_size(context, count, left):
     (call,) = context.calls
     assert len(call.pieces) == count
     assert context.pool.gate.get_depth() == left
 
 
 @then('the others follow once the results are freed')
-def check_freed(context):
-    gate = context.pool.gate
+def check_after_release(context):
+    scheduler = context.pool.gate
     (call,) = context.calls
-    gate.finish(call)
+    scheduler.finish(call)
     for number, waiting in enumerate(call.pieces):
-        gate.result_space.add(
+        scheduler.result_space.add(
             StoredResult(
                 handle=f'h{number}',
                 instance=call.instance.instance,
@@ -114,17 +114,17 @@
             ),
         )
     assert not context.pool.plan()
-    assert gate.result_space.release('h0', 0) == 'i0'
-    assert not gate.result_space.release('h0', 0)
+    assert scheduler.result_space.release('h0', 0) == 'i0'
+    assert not scheduler.result_space.release('h0', 0)
     (call,) = context.pool.plan()
     assert len(call.pieces) == 1
 
 
 @when('a piece for domain two waits while its instance will be idle in 50 ms')
-def occupy_near(context):
-    gate = context.pool.gate
+def occupy_local_instance(context):
+    scheduler = context.pool.gate
     context.pool.instances.reverse()
-    gate.submit(make_waiting(0, failure_domain='two'))
+    scheduler.submit(make_waiting(0, failure_domain='two'))
     (call,) = context.pool.plan()
     assert call.instance.failure_domain == 'two'
     context.now_ms = call.expected_ms - 50
@@ -136,10 +136,10 @@
 )
 def check_held(context, long_ms, short_ms):
     now_ms = context.now_ms
-    gate = context.pool.gate
-    gate.submit(make_waiting(now_ms + long_ms, failure_domain='two'))
+    scheduler = context.pool.gate
+    scheduler.submit(make_waiting(now_ms + long_ms, failure_domain='two'))
     assert not context.pool.plan(now_ms)
-    gate.submit(make_waiting(now_ms + short_ms, failure_domain='two'))
+    scheduler.submit(make_waiting(now_ms + short_ms, failure_domain='two'))
     (call,) = context.pool.plan(now_ms)
     assert call.instance.failure_domain == 'one'
     assert call.pieces[0].piece.due_ms == now_ms + short_ms
@@ -158,13 +158,13 @@
 
 
 @then('the gate expects those beyond the third to be late')
-def check_expected(context):
+def check_lateness(context):
     late = [late_ms > 0 for late_ms in context.lateness]
     assert late == [False, False, False, False, True, True], context.lateness
 
 
 @when('a piece waits whose caller has left')
-def leave(context):
+def queue_unawaited_piece(context):
     waiting = make_waiting(500)
     context.pool.gate.submit(waiting)
     waiting.is_awaited = False
@@ -177,20 +177,20 @@
 
 
 @when('pieces that have missed their objective by a second wait')
-def wait_late(context):
-    context.settled = []
+def queue_late_pieces(context):
+    context.piece_results = []
     context.pool.instances.clear()
     for inputs in ((), ('10.0.0.1:1/x',)):
         waiting = make_waiting(0, inputs=inputs)
-        waiting.on_result = context.settled.append
+        waiting.on_result = context.piece_results.append
         context.pool.gate.submit(waiting)
     context.pool.plan(1000)
 
 
 @then('the one without work is given up and the one with inputs is not')
-def check_given_up(context):
-    (found,) = context.settled
-    assert found.outcome is PieceOutcome.not_run
+def check_not_run(context):
+    (result,) = context.piece_results
+    assert result.outcome is PieceOutcome.not_run
     assert context.pool.gate.get_depth() == 1
 
 
@@ -228,7 +228,7 @@
 
 
 @when('{urgent:d} pieces of priority 0 and {other:d} of priority 2 wait')
-def wait_kinds(context, urgent, other):
+def queue_two_priorities(context, urgent, other):
     for number in range(urgent + other):
         priority = 0 if number < urgent else 2
         context.pool.gate.submit(make_waiting(5000, priority=priority))
@@ -238,7 +238,7 @@
     'a new one of priority 0 expects {urgent:d} calls before it '
     'and one of 2 all {everything:d}',
 )
-def check_kinds(context, urgent, everything):
+def check_expected_waits(context, urgent, everything):
     pool = context.pool
     waits_ms = pool.gate.estimate_waits_ms(pool.profile, 1, NOTHING, 0)
     call_ms = pool.profile.estimate_ms(1)
--- a/tests/features/steps/slow_calls.py
+++ b/tests/features/steps/slow_calls.py
@@ -1,4 +1,4 @@
-"""Steps of instances that are slow."""
+"""Steps for slow instances."""
 
 from types import SimpleNamespace
 
@@ -11,8 +11,8 @@
 from tests.fixtures.piece_pool import FAR_MS, PiecePool, make_waiting
 
 _DONE = PieceResult(outcome=PieceOutcome.done, handle='10.0.0.1:1/x')
-# How far the clock goes between two checks for a new call.
-_STEP_MS = 10
+# Simulated time between two scheduling cycles.
+_CYCLE_MS = 10
 
 
 @given('2 instances, of which the first takes {factor:d} times as long')
@@ -21,12 +21,12 @@
     context.factor = factor
     context.now_ms = 0
     context.calls_of_slow = []
-    described = SimpleNamespace(pieces=context.pool.profile)
+    pool_config = SimpleNamespace(pieces=context.pool.profile)
     context.outcomes = CallResultHandler(
         context=SimpleNamespace(
             load_tracker=context.pool.book,
             metrics=Metrics(),
-            route_table=SimpleNamespace(pools={'p': described}),
+            route_table=SimpleNamespace(pools={'p': pool_config}),
             directory=SimpleNamespace(
                 get_pool=lambda _: context.pool.instances,
             ),
@@ -42,34 +42,38 @@
 
 
 @when('pieces keep coming for {span_s:d} s')
-def play(context, span_s):
-    """Play calls, their slowness and their ends in steps of time."""
+def run_calls(context, span_s):
+    """Simulate calls, reports of slow calls and completions in time steps."""
     running = []
     with use_monotonic(lambda: context.now_ms):
         while context.now_ms < span_s * 1000:
-            running = [one for one in running if _advance(context, one)]
+            running = [
+                running_call
+                for running_call in running
+                if _advance(context, running_call)
+            ]
             if context.pool.gate.get_depth() < 4:
                 context.pool.gate.submit(make_waiting(FAR_MS))
             for call in context.pool.plan(context.now_ms):
-                running.append(SimpleNamespace(call=call, is_noted=False))
+                running.append(SimpleNamespace(call=call, is_reported=False))
                 if call.instance.instance == 'i0':
                     context.calls_of_slow.append(context.now_ms)
-            context.now_ms += _STEP_MS
+            context.now_ms += _CYCLE_MS
 
 
-def _advance(context, one) -> bool:
-    """Tell whether a call still runs; note that it is slow, or its end."""
-    call = one.call
+def _advance(context, running_call) -> bool:
+    """Return whether a call still runs; report it as slow or as finished."""
+    call = running_call.call
     is_slow = call.instance.instance == 'i0'
-    took_ms = context.now_ms - call.started_ms
-    if took_ms > 2.5 * call.expected_ms and not one.is_noted:
-        one.is_noted = True
+    elapsed_ms = context.now_ms - call.started_ms
+    if elapsed_ms > 2.5 * call.expected_ms and not running_call.is_reported:
+        running_call.is_reported = True
         context.outcomes.record_slow_call('p', context.pool.gate, call)
-    if took_ms < call.expected_ms * (context.factor if is_slow else 1):
+    if elapsed_ms < call.expected_ms * (context.factor if is_slow else 1):
         return True
     context.pool.gate.finish(call)
-    found = tuple(_DONE for _ in call.pieces)
-    context.outcomes.record_results('p', context.pool.gate, call, found)
+    results = tuple(_DONE for _ in call.pieces)
+    context.outcomes.record_results('p', context.pool.gate, call, results)
     return False
 
 
@@ -77,5 +81,7 @@
 def check_calls(context, most):
     starts = context.calls_of_slow
     assert 2 <= len(starts) <= most, starts
-    pauses = [later - earlier for earlier, later in zip(starts, starts[1:])]
-    assert pauses == sorted(pauses), starts
+    intervals_ms = [
+        later - earlier for earlier, later in zip(starts, starts[1:])
+    ]
+    assert intervals_ms == sorted(intervals_ms), starts
--- a/tests/features/steps/streams.py
+++ b/tests/features/steps/streams.py
@@ -1,4 +1,4 @@
-"""Steps of generation and of repeatable stages."""
+"""Steps for streamed generation and for repeatable stages."""
 
 import asyncio
 import time
@@ -9,39 +9,39 @@
 
 _ENGINES = 'ragworth-pool'
 _ENCODERS = 'encoder-pool'
-_LIMIT_S = 30
+_TIMEOUT_S = 30
 
 
 def _set_faults(context, pool, **faults):
     fleet = context.stage.fleet
-    for one in fleet.plan.get_pool(pool):
-        context.stage.run(fleet.set_faults(one.upstream_port, **faults))
+    for instance in fleet.plan.get_pool(pool):
+        context.stage.run(fleet.set_faults(instance.upstream_port, **faults))
 
 
-def _spoil_engines(context, **faults):
-    # A request may be given up after four attempts, so that with all five
-    # spoilt its answer would be a matter of luck.
+def _inject_engine_faults(context, **faults):
+    # A request may fail after four attempts, so with faults in all five
+    # engines its outcome would be random.
     fleet = context.stage.fleet
-    for one in fleet.plan.get_pool(_ENGINES)[:3]:
-        context.stage.run(fleet.set_faults(one.upstream_port, **faults))
+    for instance in fleet.plan.get_pool(_ENGINES)[:3]:
+        context.stage.run(fleet.set_faults(instance.upstream_port, **faults))
 
 
-async def _count(fleet, path, field):
+async def _sum_counts(fleet, path, field):
     counts = [
-        await fleet.get_json(one.upstream_port, path)
-        for one in fleet.plan.get_pool(_ENGINES)
+        await fleet.get_json(instance.upstream_port, path)
+        for instance in fleet.plan.get_pool(_ENGINES)
     ]
-    return sum(one[field] for one in counts)
+    return sum(count[field] for count in counts)
 
 
 @given('three of five engines break their next stream off')
 def break_streams(context):
-    _spoil_engines(context, truncate=1, left=1)
+    _inject_engine_faults(context, truncate=1, left=1)
 
 
 @given('three of five engines cross their next answer')
 def cross_streams(context):
-    _spoil_engines(context, cross=1, left=1)
+    _inject_engine_faults(context, cross=1, left=1)
 
 
 @given('the engines are slow')
@@ -50,12 +50,12 @@
 
 
 @given('the engines behave')
-def mend_engines(context):
+def clear_engine_faults(context):
     _set_faults(context, _ENGINES)
 
 
 @given('the encoders behave')
-def mend_encoders(context):
+def clear_encoder_faults(context):
     _set_faults(context, _ENCODERS)
 
 
@@ -66,7 +66,10 @@
 
     async def send_all():
         await asyncio.gather(
-            *(stage.callers.send(one, stream=True) for one in context.many),
+            *(
+                stage.callers.send(request, stream=True)
+                for request in context.many
+            ),
         )
 
     stage.run(send_all())
@@ -78,8 +81,8 @@
     context.many = [stage.callers.make() for _ in range(count)]
 
     async def send_all():
-        for one in context.many:
-            await stage.callers.send(one)
+        for request in context.many:
+            await stage.callers.send(request)
 
     stage.run(send_all())
 
@@ -104,11 +107,13 @@
 
 
 @when('a caller leaves after the first token')
-def leave_stream(context):
+def disconnect_from_stream(context):
     fleet = context.stage.fleet
 
-    async def leave():
-        context.cancelled = await _count(fleet, '/counts', 'cancelled')
+    async def disconnect():
+        context.cancelled_before = await _sum_counts(
+            fleet, '/counts', 'cancelled'
+        )
         async with fleet.session.post(
             f'http://{fleet.entries[0].address}/v1/pipelines/lot-summaries',
             json={'deadline_ms': 3000, 'inputs': {}, 'stream': True},
@@ -117,7 +122,7 @@
             await response.content.readline()
             response.close()
 
-    context.stage.run(leave())
+    context.stage.run(disconnect())
 
 
 @then('an engine cancels its work')
@@ -125,10 +130,10 @@
     fleet = context.stage.fleet
 
     async def wait():
-        end = time.monotonic() + _LIMIT_S
+        end = time.monotonic() + _TIMEOUT_S
         while time.monotonic() < end:
-            count = await _count(fleet, '/counts', 'cancelled')
-            if count > context.cancelled:
+            count = await _sum_counts(fleet, '/counts', 'cancelled')
+            if count > context.cancelled_before:
                 return True
             await asyncio.sleep(0.05)
         return False
@@ -139,24 +144,28 @@
 @given('one encoder fails every call')
 def fail_encoder(context):
     fleet = context.stage.fleet
-    context.broken = fleet.plan.get_pool(_ENCODERS)[0]
+    context.failing_encoder = fleet.plan.get_pool(_ENCODERS)[0]
     context.stage.run(
-        fleet.set_faults(context.broken.upstream_port, fail=1, left=1000),
+        fleet.set_faults(
+            context.failing_encoder.upstream_port, fail=1, left=1000
+        ),
     )
 
 
 @then('it was tried for fewer than half of them')
 def check_avoided(context):
     fleet = context.stage.fleet
-    log = fleet.session.get(f'http://{context.broken.address}/metrics')
+    metrics_request = fleet.session.get(
+        f'http://{context.failing_encoder.address}/metrics'
+    )
 
-    async def read():
-        async with log as response:
+    async def read_metrics():
+        async with metrics_request as response:
             return await response.text()
 
     failed = sum(
         float(line.split()[-1])
-        for line in context.stage.run(read()).splitlines()
+        for line in context.stage.run(read_metrics()).splitlines()
         if line.startswith('ragworthollow_attempts_total')
         and 'outcome="failed"' in line
     )
--- a/tests/features/steps/thin_links.py
+++ b/tests/features/steps/thin_links.py
@@ -1,4 +1,4 @@
-"""Steps of gateways to which the store's answers come slowly."""
+"""Steps for gateways that receive store responses over slow links."""
 
 import random
 
@@ -21,13 +21,13 @@
 
 
 @given('a store behind a link of {mbit_per_s:d} Mbit/s')
-def thin_link(context, mbit_per_s):
+def limit_store_bandwidth(context, mbit_per_s):
     store = context.gateway_stage.store
     store.faults.active = {'bytes_per_s': mbit_per_s * BYTES_PER_MBIT}
 
 
 @given('the store stops in the middle of one answer')
-def stall(context):
+def stall_response(context):
     stage = context.gateway_stage
     stage.store.faults.active = {'stall': 1, 'left': 1}
     stage.run(stage.wait_for(lambda: not stage.store.faults.active['left']))
@@ -40,31 +40,32 @@
 
 @when('the operators add {count:d} routes in each of {versions:d} versions')
 def add_routes_often(context, count, versions):
-    context.sent_before = context.gateway_stage.store.sent_bytes
+    context.sent_bytes_before = context.gateway_stage.store.sent_bytes
     for number in range(versions):
         _write_version(context, count, version=10 + number)
 
 
 @step('the gateway takes the configuration')
-def take(context):
+def wait_for_configuration(context):
     stage = context.gateway_stage
     stage.run(stage.wait_configured())
 
 
 @when('instance {name} leaves')
-def leave(context, name):
+def announce_leaving(context, name):
     stage = context.gateway_stage
     stage.run(stage.show(name, 'plain', state='draining'))
 
 
 @then('the gateway sends to {name} only')
-def check_one(context, name):
+def check_only_instance(context, name):
     stage = context.gateway_stage
     directory = stage.get_context().directory
     stage.run(
         stage.wait_for(
             lambda: (
-                [one.instance for one in directory.get_pool('plain')] == [name]
+                [instance.instance for instance in directory.get_pool('plain')]
+                == [name]
             ),
         ),
     )
@@ -74,70 +75,73 @@
 def check_polls(context, count):
     stage = context.gateway_stage
     stage.run(stage.wait_reads(1))
-    before = stage.store.sent_bytes
+    bytes_before = stage.store.sent_bytes
     stage.run(stage.wait_reads(count))
-    assert stage.store.sent_bytes - before < _get_size(stage)
+    assert stage.store.sent_bytes - bytes_before < _get_configuration_size(
+        stage
+    )
 
 
 @then('it received no more than {count:d} configurations')
 def check_received(context, count):
     stage = context.gateway_stage
-    sent = stage.store.sent_bytes - context.sent_before
-    # The list of instances comes along, with a tenth of a configuration.
-    assert sent <= (count + 0.1) * _get_size(stage), sent
+    sent = stage.store.sent_bytes - context.sent_bytes_before
+    # The responses also carry the instance list, which gets an allowance of
+    # a tenth of a configuration.
+    assert sent <= (count + 0.1) * _get_configuration_size(stage), sent
 
 
 @given('a peer that answers at {mbit_per_s:d} Mbit/s')
-def thin_peer(context, mbit_per_s):
+def limit_peer_bandwidth(context, mbit_per_s):
     context.peer_bytes_per_s = mbit_per_s * BYTES_PER_MBIT
 
 
 @when('a process asks it for {size_kb:d} kB of configuration')
-def ask_configuration(context, size_kb):
+def pull_configuration(context, size_kb):
     text = 'x' * size_kb * 1000
     body = msgspec.json.encode(Snapshot(files_by_sha256={'some': text}))
-    context.is_taken = context.gateway_stage.run(
-        _ask_peer(context, body, _pull),
+    context.is_accepted = context.gateway_stage.run(
+        _fetch_from_peer(context, body, _pull),
     )
 
 
 @when('a process asks it for the instances of a fleet of {count:d}')
-def ask_instances(context, count):
-    listed = InstanceList(
+def poll_instances(context, count):
+    instance_list = InstanceList(
         revision=1,
         instances=tuple(
             InstanceEntry(
-                instance=f'instance-{one}',
+                instance=f'instance-{number}',
                 pool='pool',
                 failure_domain='one',
-                address=f'127.0.0.1:{one}',
+                address=f'127.0.0.1:{number}',
             )
-            for one in range(count)
+            for number in range(count)
         ),
     )
-    body = msgspec.json.encode(listed)
-    context.is_taken = context.gateway_stage.run(
-        _ask_peer(context, body, _poll),
+    body = msgspec.json.encode(instance_list)
+    context.is_accepted = context.gateway_stage.run(
+        _fetch_from_peer(context, body, _poll),
     )
 
 
 @then('the answer is taken')
-def check_taken(context):
-    assert context.is_taken
+def check_accepted(context):
+    assert context.is_accepted
 
 
-async def _ask_peer(context, body: bytes, ask) -> bool:
-    async def answer(request: web.Request) -> web.StreamResponse:
+async def _fetch_from_peer(context, body: bytes, fetch) -> bool:
+    async def handle(request: web.Request) -> web.StreamResponse:
         response = web.Response(body=body)
         return await send_slowly(request, response, context.peer_bytes_per_s)
 
     stage = context.gateway_stage
-    runner = web.ServerRunner(web.Server(answer))
+    runner = web.ServerRunner(web.Server(handle))
     await runner.setup()
     port = stage.ports.take()
     await web.TCPSite(runner, HOST, port).start()
     try:
-        return await ask(stage.session, f'{HOST}:{port}')
+        return await fetch(stage.session, f'{HOST}:{port}')
     finally:
         await runner.cleanup()
 
@@ -172,12 +176,16 @@
     stage = context.gateway_stage
     first = stage.configuration['routes'][0]
     added = [
-        {**first, 'name': f'r-{version}-{one}', 'path_prefix': f'/at{one}/'}
-        for one in range(count)
+        {
+            **first,
+            'name': f'r-{version}-{number}',
+            'path_prefix': f'/at{number}/',
+        }
+        for number in range(count)
     ]
     routes = [*stage.configuration['routes'][:4], *added]
     stage.run(stage.configure(version=version, routes=routes))
 
 
-def _get_size(stage) -> int:
+def _get_configuration_size(stage) -> int:
     return len(stage.store.entries['op/config'].value)
