--- a/tests/features/steps/answer_notices.py
+++ b/tests/features/steps/answer_notices.py
@@ -95,8 +95,8 @@
 def _record_work_count(context, name) -> None:
     work_count = _count_work_requests(_get_upstream(context, name))
     assert work_count
-    context.work_counts = {
-        **getattr(context, 'work_counts', {}),
+    context.answered = {
+        **getattr(context, 'answered', {}),
         name: work_count,
     }
 
@@ -212,7 +212,7 @@
 @then('{name:w} has got nothing since its answer')
 def check_no_new_work(context, name):
     upstream = _get_upstream(context, name)
-    assert _count_work_requests(upstream) == context.work_counts[name], [
+    assert _count_work_requests(upstream) == context.answered[name], [
         (request.path, request.body) for request in upstream.arrivals
     ]
 
@@ -221,7 +221,7 @@
 def check_new_work(context, name):
     assert (
         _count_work_requests(_get_upstream(context, name))
-        > context.work_counts[name]
+        > context.answered[name]
     )
 
 
--- a/tests/features/steps/streams.py
+++ b/tests/features/steps/streams.py
@@ -28,10 +28,10 @@
 
 async def _sum_counts(fleet, path, field):
     counts = [
-        await fleet.get_json(instance.upstream_port, path)
-        for instance in fleet.plan.get_pool(_ENGINES)
+        await fleet.get_json(engine.upstream_port, path)
+        for engine in fleet.plan.get_pool(_ENGINES)
     ]
-    return sum(count[field] for count in counts)
+    return sum(engine[field] for engine in counts)
 
 
 @given('three of five engines break their next stream off')
