--- a/tests/features/steps/crash_evidence.py
+++ b/tests/features/steps/crash_evidence.py
@@ -1,4 +1,4 @@
-"""Steps of the evidence against requests that crash instances."""
+"""Define steps for evidence against requests that crash instances."""
 
 import asyncio
 import dataclasses
@@ -20,13 +20,13 @@
 from ragworthollow.upstreams import Directory, UpstreamInstance
 from ragworthollow_daemon.gateway.crash_detector import CrashDetector
 
-_TERM_MS = 300_000
+_QUARANTINE_MS = 300_000
 _HOUR_MS = 3_600_000
-_WORK = 'work'
+_FINGERPRINT = 'work'
 _GATEWAYS = ('g1', 'g2', 'g3')
 _HOST = '127.0.0.1'
 _SEEDS = range(5)
-_PATTERNS = {
+_SCENARIOS = {
     'one harmful request': Scenario(),
     'three harmful requests': Scenario(harmful=3),
     'a hot harmless request': Scenario(hot_share=0.4),
@@ -34,75 +34,79 @@
 }
 
 
-def _make_ledger(**limits) -> CrashRegistry:
-    return CrashRegistry(crash_limit=2, quarantine_ms=_TERM_MS, **limits)
+def _make_registry(**limits) -> CrashRegistry:
+    return CrashRegistry(crash_limit=2, quarantine_ms=_QUARANTINE_MS, **limits)
 
 
-def _crash(context, count) -> None:
+def _record_crashes(context, count) -> None:
     for _ in range(count):
         context.crashes += 1
-        context.ledger.record_crash(
-            _WORK, f'i{context.crashes}', context.now_ms
+        context.registry.record_crash(
+            _FINGERPRINT, f'i{context.crashes}', context.now_ms
         )
 
 
 @given('a request that was running in {count:d} crashes')
 def crash_first(context, count):
-    context.ledger = _make_ledger()
+    context.registry = _make_registry()
     context.now_ms = 1_000
     context.crashes = 0
-    _crash(context, count)
+    _record_crashes(context, count)
 
 
 @when('it ends well and is running in {count:d} further crashes')
-def end_well(context, count):
-    context.ledger.clear(_WORK, context.now_ms)
-    _crash(context, count)
+def succeed_then_crash(context, count):
+    context.registry.clear(_FINGERPRINT, context.now_ms)
+    _record_crashes(context, count)
 
 
 @when('it is running in {count:d} further crashes')
 def crash_again(context, count):
-    _crash(context, count)
+    _record_crashes(context, count)
 
 
 @when('that time has passed')
-def pass_time(context):
-    context.now_ms += _TERM_MS
+def advance_past_quarantine(context):
+    context.now_ms += _QUARANTINE_MS
 
 
 @when('{hours:d} hours have passed and another request was running in a crash')
-def pass_hours(context, hours):
+def advance_hours(context, hours):
     context.now_ms += hours * _HOUR_MS
-    context.ledger.record_crash('another', 'i9', context.now_ms)
+    context.registry.record_crash('another', 'i9', context.now_ms)
 
 
 @then('only that one is remembered')
 def check_forgotten(context):
-    assert context.ledger.count() == 1
-    assert context.ledger.get_record('another')
+    assert context.registry.count() == 1
+    assert context.registry.get_record('another')
 
 
 @then('it is not quarantined')
-def check_let_in(context):
-    assert not context.ledger.get_remaining_ms(_WORK, context.now_ms)
+def check_not_quarantined(context):
+    assert not context.registry.get_remaining_ms(_FINGERPRINT, context.now_ms)
 
 
 @then('it is quarantined for {seconds:d} seconds')
 def check_quarantined(context, seconds):
-    left_ms = context.ledger.get_remaining_ms(_WORK, context.now_ms)
-    assert left_ms == seconds * 1000, left_ms
+    remaining_ms = context.registry.get_remaining_ms(
+        _FINGERPRINT, context.now_ms
+    )
+    assert remaining_ms == seconds * 1000, remaining_ms
 
 
-def _make_exchange(name: str, ledger: CrashRegistry) -> EvidenceExchange:
+def _make_exchange(
+    incarnation: str, registry: CrashRegistry
+) -> EvidenceExchange:
     return EvidenceExchange(
-        incarnation=name,
-        registry=ledger,
+        incarnation=incarnation,
+        registry=registry,
         on_quarantine=lambda _: None,
     )
 
 
 _PAIRS = st.permutations(_GATEWAYS).map(lambda names: names[:2])
-_MOVES = st.lists(
+_ACTIONS = st.lists(
     st.one_of(
         st.tuples(
             st.just('crash'),
@@ -125,136 +129,138 @@
 
 
 class _Fleet:
-    """Hold gateways that tell each other of evidence."""
+    """Simulate gateways that exchange crash evidence."""
 
     def __init__(self) -> None:
-        self.ledgers: dict[str, CrashRegistry] = {}
+        self.registries: dict[str, CrashRegistry] = {}
         self._exchanges: dict[str, EvidenceExchange] = {}
         self._now_ms = 0
         for name in _GATEWAYS:
             self._start(name)
 
     def _start(self, name: str) -> None:
-        """Start a gateway, which knows nothing of its earlier process."""
-        ledger = _make_ledger()
+        """Start a gateway process without the state of its predecessor."""
+        registry = _make_registry()
         incarnation = f'{name}-{self._now_ms}'
-        self.ledgers[name] = ledger
-        self._exchanges[name] = _make_exchange(incarnation, ledger)
+        self.registries[name] = registry
+        self._exchanges[name] = _make_exchange(incarnation, registry)
 
-    def play(self, move) -> None:
+    def perform(self, action) -> None:
         self._now_ms += 10
-        kind, *rest = move
+        kind, *rest = action
         if kind == 'crash':
-            name, work, instance = rest
-            self.ledgers[name].record_crash(work, instance, self._now_ms)
+            name, fingerprint, instance = rest
+            self.registries[name].record_crash(
+                fingerprint, instance, self._now_ms
+            )
         elif kind == 'restart':
             self._start(rest[0])
         elif kind == 'clear':
-            name, work = rest
-            self.ledgers[name].clear(work, self._now_ms)
+            name, fingerprint = rest
+            self.registries[name].clear(fingerprint, self._now_ms)
         else:
-            self.tell(*rest[0], is_lost=kind == 'lose')
+            self.send_update(*rest[0], is_lost=kind == 'lose')
             if kind == 'repeat':
-                self.tell(*rest[0], is_lost=False)
+                self.send_update(*rest[0], is_lost=False)
 
-    def tell(self, teller: str, hearer: str, *, is_lost: bool) -> None:
-        news = self._exchanges[teller].make_update(hearer, self._now_ms)
-        if news is not None and not is_lost:
-            self._exchanges[hearer].apply_update(teller, news, self._now_ms)
+    def send_update(self, sender: str, receiver: str, *, is_lost: bool) -> None:
+        update = self._exchanges[sender].make_update(receiver, self._now_ms)
+        if update is not None and not is_lost:
+            self._exchanges[receiver].apply_update(sender, update, self._now_ms)
 
-    def settle(self) -> None:
+    def converge(self) -> None:
         for _ in range(2 * len(_GATEWAYS)):
-            for teller in _GATEWAYS:
-                for hearer in _GATEWAYS:
-                    if teller != hearer:
-                        self.tell(teller, hearer, is_lost=False)
+            for sender in _GATEWAYS:
+                for receiver in _GATEWAYS:
+                    if sender != receiver:
+                        self.send_update(sender, receiver, is_lost=False)
 
-    def has_news(self) -> bool:
-        """Tell whether any gateway has something left to say."""
+    def has_pending_updates(self) -> bool:
+        """Return whether any gateway has an update to send."""
         return any(
-            exchange.make_update(hearer, self._now_ms) is not None
-            for teller, exchange in self._exchanges.items()
-            for hearer in _GATEWAYS
-            if hearer != teller
+            exchange.make_update(receiver, self._now_ms) is not None
+            for sender, exchange in self._exchanges.items()
+            for receiver in _GATEWAYS
+            if receiver != sender
         )
 
-    def get_verdicts(self) -> list[list[bool]]:
+    def get_decisions(self) -> list[list[bool]]:
         return [
             [
-                bool(ledger.get_remaining_ms(work, self._now_ms))
-                for work in 'abc'
+                bool(registry.get_remaining_ms(fingerprint, self._now_ms))
+                for fingerprint in 'abc'
             ]
-            for ledger in self.ledgers.values()
+            for registry in self.registries.values()
         ]
 
 
 @then('any exchange of any evidence ends in one verdict of all gateways')
 def check_agreement(context):
     @settings(max_examples=200, derandomize=True, deadline=None)
-    @for_all(_MOVES)
-    def check(moves):
+    @for_all(_ACTIONS)
+    def check(actions):
         fleet = _Fleet()
-        for move in moves:
-            fleet.play(move)
-        fleet.settle()
-        first, *others = fleet.get_verdicts()
-        assert all(verdict == first for verdict in others)
-        assert not fleet.has_news()
+        for action in actions:
+            fleet.perform(action)
+        fleet.converge()
+        first, *others = fleet.get_decisions()
+        assert all(decisions == first for decisions in others)
+        assert not fleet.has_pending_updates()
 
     check()
 
 
 @given('a gateway that knows of {count:d} requests that are quarantined')
-def know_many(context, count):
-    context.ledger = _make_ledger()
+def quarantine_many(context, count):
+    context.registry = _make_registry()
     for number in range(count):
         for instance in ('i1', 'i2'):
-            context.ledger.record_crash(f'work-{number}', instance, 0)
-    context.host = _make_exchange('host', context.ledger)
+            context.registry.record_crash(f'work-{number}', instance, 0)
+    context.host = _make_exchange('host', context.registry)
 
 
 @when(
     'a gateway asks it {count:d} times, starts again and asks {again:d} times'
 )
-def ask_and_restart(context, count, again):
-    for incarnation, asked in (('first', count), ('second', again)):
-        context.asker = _make_ledger()
-        exchange = _make_exchange(incarnation, context.asker)
-        for _ in range(asked):
-            question = exchange.make_update('host', 0)
-            context.host.apply_update('asker', question, 0)
+def request_and_restart(context, count, again):
+    for incarnation, request_count in (('first', count), ('second', again)):
+        context.requester = _make_registry()
+        exchange = _make_exchange(incarnation, context.requester)
+        for _ in range(request_count):
+            request = exchange.make_update('host', 0)
+            context.host.apply_update('asker', request, 0)
             exchange.apply_update(
                 'host', context.host.make_update('asker', 0), 0
             )
 
 
 @then('it quarantines {count:d} requests')
-def check_told(context, count):
-    assert len(context.asker.list_quarantined(0)) == count
+def check_received(context, count):
+    assert len(context.requester.list_quarantined(0)) == count
 
 
 @given('a memory for {count:d} requests, one of which is quarantined')
-def make_small_memory(context, count):
-    context.ledger = _make_ledger(max_records=count)
+def make_bounded_registry(context, count):
+    context.registry = _make_registry(max_records=count)
     for instance in ('i1', 'i2'):
-        context.ledger.record_crash(_WORK, instance, 0)
+        context.registry.record_crash(_FINGERPRINT, instance, 0)
 
 
 @when('{count:d} others have been running in a crash')
-def fill_memory(context, count):
+def fill_registry(context, count):
     for number in range(count):
-        context.ledger.record_crash(f'other-{number}', 'i3', number)
+        context.registry.record_crash(f'other-{number}', 'i3', number)
 
 
 @then('{count:d} are remembered, and the one is still quarantined')
-def check_memory(context, count):
-    assert context.ledger.count() == count
-    assert context.ledger.get_remaining_ms(_WORK, count)
+def check_bounded_registry(context, count):
+    assert context.registry.count() == count
+    assert context.registry.get_remaining_ms(_FINGERPRINT, count)
 
 
 @when('a request loses its connection to an instance that {state}')
 def lose_connection(context, state):
-    context.noted = asyncio.run(_lose_connection(state))
+    context.crashed_requests = asyncio.run(_lose_connection(state))
 
 
 async def _lose_connection(state: str) -> list[str]:
@@ -269,67 +275,70 @@
     )
     directory = Directory()
     directory.replace([instance], 0)
-    noted: list[str] = []
-    watch = CrashDetector(
+    crashed_requests: list[str] = []
+    detector = CrashDetector(
         directory=directory,
         metrics=Metrics(),
         spawn=asyncio.ensure_future,
-        on_crash=lambda _, running: noted.extend(running),
+        on_crash=lambda _, running: crashed_requests.extend(running),
     )
     if state != 'listens':
         server.close()
         await server.wait_closed()
     if state == 'has ended after leaving':
-        left = dataclasses.replace(instance, is_leaving=True)
-        directory.replace([left], 1)
-    watch.record_connection_loss(instance, [_WORK])
-    await watch.wait_for_crash_check(instance)
+        leaving = dataclasses.replace(instance, is_leaving=True)
+        directory.replace([leaving], 1)
+    detector.record_connection_loss(instance, [_FINGERPRINT])
+    await detector.wait_for_crash_check(instance)
     server.close()
-    return noted
+    return crashed_requests
 
 
 @then('the request has been in {count:d} crashes')
-def check_noted(context, count):
-    assert len(context.noted) == count, context.noted
+def check_crash_count(context, count):
+    assert len(context.crashed_requests) == count, context.crashed_requests
 
 
 @then('requests are the same work only with one organisation, target and body')
 def check_fingerprints(context):
-    work = {
+    request = {
         'organisation': 'one',
         'method': 'POST',
         'host': 'service.example',
         'target': '/safe/1?a=b',
         'body': b'body',
     }
-    others = (
+    changes = (
         {'organisation': 'two'},
         {'method': 'PUT'},
         {'target': '/safe/1?a=c'},
         {'body': b'other'},
-        # The end of one part is not the beginning of the next.
+        # Fields must be delimited: text moved across a field boundary gives
+        # another fingerprint.
         {'organisation': 'onePOST', 'method': ''},
     )
-    own = make_fingerprint(**work)
-    assert own == make_fingerprint(**{**work, 'host': 'Service.Example'})
-    found = {make_fingerprint(**{**work, **other}) for other in others}
-    assert len(found) == len(others)
-    assert own not in found
+    fingerprint = make_fingerprint(**request)
+    assert fingerprint == make_fingerprint(
+        **{**request, 'host': 'Service.Example'}
+    )
+    changed = {make_fingerprint(**{**request, **change}) for change in changes}
+    assert len(changed) == len(changes)
+    assert fingerprint not in changed
 
 
 @when('the fleet is played with {pattern}')
-def play_fleet(context, pattern):
-    context.played = _PATTERNS[pattern]
+def simulate_fleet(context, pattern):
+    context.crash_scenario = _SCENARIOS[pattern]
     context.counts = Counter()
     for seed in _SEEDS:
-        model = CrashModel(scenario=context.played, seed=seed)
+        model = CrashModel(scenario=context.crash_scenario, seed=seed)
         context.counts.update(model.play())
 
 
 @then('it loses at most {count:d} instances for each harmful request')
 def check_lost(context, count):
-    most = count * context.played.harmful * len(_SEEDS)
-    assert context.counts['harmful runs'] <= most, context.counts
+    max_lost = count * context.crash_scenario.harmful * len(_SEEDS)
+    assert context.counts['harmful runs'] <= max_lost, context.counts
 
 
 @then('it refuses at most 1 in {count:d} harmless requests')
--- a/tests/features/steps/gate_hosts.py
+++ b/tests/features/steps/gate_hosts.py
@@ -1,4 +1,4 @@
-"""Steps of gates whose host changes."""
+"""Define steps for schedulers whose host changes."""
 
 import asyncio
 
@@ -10,29 +10,36 @@
 from ragworthollow_daemon.gateway.piece_exchange import FREE_PATH
 from tests.fixtures.staged import NAMES, send_staged
 
-# Beyond any time of this machine's monotonic clock.
+# Later than any reading of this machine's monotonic clock.
 _NEVER_MS = 1e15
 
 
 def _find_host(stage) -> str:
-    """Return who hosts the gate of the stage pool, as g1 sees it."""
-    return _find_host_seen_by(stage, 'g1')
+    """Return the gateway that hosts the stage scheduler, as seen by g1."""
+    return _find_host_as_seen_by(stage, 'g1')
 
 
 @when('the host of the gate is killed while {count:d} callers wait for pieces')
-def lose_host(context, count):
+def kill_host(context, count):
     stage = context.gateway_stage
-    context.answers = stage.run(_lose_host(stage, count))
+    context.answers = stage.run(_kill_host(stage, count))
 
 
-async def _lose_host(stage, count):
-    role, sending = await _occupy_host(stage, count)
+async def _kill_host(stage, count):
+    role, sending = await _queue_at_host(stage, count)
     await role.close()
     return await sending
 
 
-async def _occupy_host(stage, count):
-    """Have requests of the others wait for pieces; return the host, too."""
+async def _queue_at_host(stage, count):
+    """
+    Send requests through the other gateways and wait for the first call.
+
+    Returns
+    -------
+    tuple
+        The role of the host gateway, and the future of the responses.
+    """
     host = _find_host(stage)
     others = [name for name in NAMES if name != host]
     sending = asyncio.ensure_future(
@@ -50,14 +57,14 @@
 
 
 async def _stop_host(stage, count):
-    role, sending = await _occupy_host(stage, count)
+    role, sending = await _queue_at_host(stage, count)
     role.begin_shutdown()
     await role.stop()
     return await sending
 
 
 @then('the instance never had two calls at a time')
-def check_alone(context):
+def check_one_call_at_a_time(context):
     assert context.gateway_stage.upstreams['s1'].most_busy == 1
 
 
@@ -71,10 +78,10 @@
         stage.gateways[name].begin_shutdown()
         await stage.gateways[name].membership.leave()
     await stage.add_gateway('g4')
-    await stage.wait_for(lambda: 'g4' in _get_known(stage, 'g1'))
+    await stage.wait_for(lambda: 'g4' in _get_members(stage, 'g1'))
 
 
-def _get_known(stage, name):
+def _get_members(stage, name):
     return stage.gateways[name].members.get_members()
 
 
@@ -92,15 +99,15 @@
 @when(
     'a result in the account of the host is given up through another gateway',
 )
-def free_elsewhere(context):
-    context.gateway_stage.run(_free_elsewhere(context.gateway_stage))
+def release_elsewhere(context):
+    context.gateway_stage.run(_release_elsewhere(context.gateway_stage))
 
 
-async def _free_elsewhere(stage) -> None:
+async def _release_elsewhere(stage) -> None:
     host = _find_host(stage)
-    maker = stage.upstreams['s1']
-    handle = f'{maker.address}/kept'
-    _get_room(stage, host).add(
+    producer = stage.upstreams['s1']
+    handle = f'{producer.address}/kept'
+    _get_result_space(stage, host).add(
         StoredResult(
             handle=handle,
             instance='s1',
@@ -110,7 +117,7 @@
     )
     other = next(name for name in NAMES if name != host)
     await stage.wait_for(
-        lambda: _find_host_seen_by(stage, other) == host,
+        lambda: _find_host_as_seen_by(stage, other) == host,
     )
     address = stage.get_context(other).settings.peer_address
     release = ResultsRelease(pool='stage', handles=(handle,))
@@ -119,23 +126,23 @@
         data=msgspec.json.encode(release),
     ) as response:
         assert response.status == 200
-    await stage.wait_for(lambda: maker.freed)
+    await stage.wait_for(lambda: producer.freed)
 
 
-def _find_host_seen_by(stage, name: str) -> str:
+def _find_host_as_seen_by(stage, name: str) -> str:
     host = stage.gateways[name].members.find_host('stage')
     return name if host is None else host.instance
 
 
-def _get_room(stage, name: str):
+def _get_result_space(stage, name: str):
     return (
         stage.gateways[name].service.get_schedulers().get('stage').result_space
     )
 
 
 @then('it is given up once, and the host counts it no more')
-def check_freed_once(context):
+def check_released_once(context):
     stage = context.gateway_stage
     assert len(stage.upstreams['s1'].freed) == 1
-    used = _get_room(stage, _find_host(stage)).get_used_bytes(0)
+    used = _get_result_space(stage, _find_host(stage)).get_used_bytes(0)
     assert not used, used
--- a/tests/features/steps/instance_entries.py
+++ b/tests/features/steps/instance_entries.py
@@ -1,4 +1,4 @@
-"""Steps of the instances' own entries, and of their incarnations."""
+"""Define steps for the store records and incarnations of instances."""
 
 import asyncio
 from types import SimpleNamespace
@@ -43,7 +43,7 @@
     'time to be warm': 'cold_left_ms',
     'count of reports': 'seq',
 }
-_CHANGES = {
+_INVALID_FIELDS = {
     'with 0 slots': {'slots': 0},
     'with slots as text': {'slots': '4'},
     'with slots as a truth value': {'slots': True},
@@ -52,33 +52,35 @@
     'with port 0': {'addr': '10.0.0.1:0'},
     'with a broken start': {'born': 1.5},
 }
-_BYTES = {
+_INVALID_BYTES = {
     'as bytes that are no text': b'{"backend": "\xff\xfe"}',
     'as an endless list': b'{"models": ' + b'[' * 100_000,
     'as nothing at all': b'',
 }
 _CALL_MS = 20_000
-# Beyond any time of this machine's monotonic clock.
+# Later than any reading of this machine's monotonic clock.
 _NEVER_MS = 1e15
 
 
 def _make_entry(change: str) -> bytes:
-    text = _BYTES.get(change)
+    text = _INVALID_BYTES.get(change)
     if text is not None:
         return text
     if change.startswith('without its '):
-        dropped = _FIELDS[change.removeprefix('without its ')]
-        kept = {name: one for name, one in _ENTRY.items() if name != dropped}
-        return msgspec.json.encode(kept)
-    return msgspec.json.encode({**_ENTRY, **_CHANGES[change]})
+        removed = _FIELDS[change.removeprefix('without its ')]
+        remaining = {
+            name: value for name, value in _ENTRY.items() if name != removed
+        }
+        return msgspec.json.encode(remaining)
+    return msgspec.json.encode({**_ENTRY, **_INVALID_FIELDS[change]})
 
 
-def _make_follower(book=None):
+def _make_subscriber(load_tracker=None):
     directory = Directory()
-    follower = InstancesSubscriber(
+    subscriber = InstancesSubscriber(
         context=SimpleNamespace(
             directory=directory,
-            load_tracker=book or LoadTracker(),
+            load_tracker=load_tracker or LoadTracker(),
             throttle=make_throttle(),
             settings=make_settings(),
             route_table=None,
@@ -86,10 +88,10 @@
         on_change=lambda: None,
         on_restart=lambda _: None,
     )
-    return follower, directory
+    return subscriber, directory
 
 
-def _store(**texts: bytes) -> dict[str, Stored]:
+def _make_entries(**texts: bytes) -> dict[str, Stored]:
     return {
         f'servers/{name}': Stored(
             text=text.decode(errors='replace'),
@@ -100,11 +102,13 @@
 
 
 @when('an entry comes {change}')
-def bring_entry(context, change):
-    follower, context.directory = _make_follower()
-    found = _store(good=msgspec.json.encode(_ENTRY), bad=_make_entry(change))
-    for asked_ms in (0, 600, 1200):
-        follower.apply_entries(found, asked_ms)
+def receive_entry(context, change):
+    subscriber, context.directory = _make_subscriber()
+    entries = _make_entries(
+        good=msgspec.json.encode(_ENTRY), bad=_make_entry(change)
+    )
+    for confirmed_ms in (0, 600, 1200):
+        subscriber.apply_entries(entries, confirmed_ms)
 
 
 @then('it names no instance, and this is logged once')
@@ -133,20 +137,20 @@
 
 
 @then('any bytes in one entry leave the others as they were')
-def check_others_hold(context):
+def check_others_unaffected(context):
     @settings(max_examples=300, deadline=None, derandomize=True)
     @for_all(text=_TEXTS)
     def check(text):
-        follower, directory = _make_follower()
-        follower.apply_entries(
-            _store(good=msgspec.json.encode(_ENTRY), odd=text), 0
+        subscriber, directory = _make_subscriber()
+        subscriber.apply_entries(
+            _make_entries(good=msgspec.json.encode(_ENTRY), odd=text), 0
         )
-        names = [one.instance for one in directory.get_pool('p')]
+        names = [instance.instance for instance in directory.get_pool('p')]
         assert 'good' in names, names
-        odd = decode_instance('servers/odd', text)
-        if odd is not None:
-            assert odd.slots >= 1
-            assert odd.address.count(':') == 1
+        decoded = decode_instance('servers/odd', text)
+        if decoded is not None:
+            assert decoded.slots >= 1
+            assert decoded.address.count(':') == 1
 
     check()
 
@@ -168,8 +172,8 @@
 )
 def make_failed(context, failures, running):
     context.book = LoadTracker()
-    context.follower, _ = _make_follower(context.book)
-    context.follower.apply_instances([_make_instance(1000)], 0)
+    context.subscriber, _ = _make_subscriber(context.book)
+    context.subscriber.apply_instances([_make_instance(1000)], 0)
     for _ in range(failures):
         context.book.record_failure('i1', 0)
     context.record = context.book.get('i1')
@@ -177,17 +181,17 @@
 
 
 @when('a list shows that it has started again')
-def show_restarted(context):
-    context.follower.apply_instances([_make_instance(5000)], 1000)
+def list_restarted(context):
+    context.subscriber.apply_instances([_make_instance(5000)], 1000)
 
 
 @when('a list shows it as before')
-def show_again(context):
-    context.follower.apply_instances([_make_instance(1000)], 1000)
+def list_unchanged(context):
+    context.subscriber.apply_instances([_make_instance(1000)], 1000)
 
 
 @then('it is trusted and counted empty')
-def check_trusted(context):
+def check_reset(context):
     record = context.book.get('i1')
     assert record.suspect_until_ms < 0
     assert record.in_flight == 0
@@ -200,13 +204,13 @@
 
 
 @then('it is still avoided')
-def check_avoided(context):
+def check_still_suspected(context):
     assert context.book.get('i1').suspect_until_ms > 1000
     assert context.book.get('i1').in_flight == 3
 
 
 def _list_stage_instance(stage, started_unix_ms: int) -> None:
-    """Write the entry of a stage instance, and wait until it is known."""
+    """Write the record of a stage instance and wait until it is listed."""
     entry = {**_ENTRY, 'backend': 'stage', 'born': started_unix_ms}
     text = msgspec.json.encode(entry).decode()
     stage.run(stage.write({'servers/i1': text}))
@@ -214,8 +218,8 @@
     stage.run(
         stage.wait_for(
             lambda: any(
-                one.started_unix_ms == started_unix_ms
-                for one in directory.get_pool('stage')
+                instance.started_unix_ms == started_unix_ms
+                for instance in directory.get_pool('stage')
             ),
         ),
     )
@@ -240,9 +244,9 @@
 
     context.service = PieceService(context=gateway, send=send)
     _list_stage_instance(stage, 1000)
-    gate = context.service.get_schedulers().get('stage')
+    scheduler = context.service.get_schedulers().get('stage')
     for number in range(3):
-        gate.result_space.add(
+        scheduler.result_space.add(
             StoredResult(
                 handle=f'old{number}',
                 instance='i1',
@@ -260,17 +264,17 @@
 
 
 @when('its entry shows a new start')
-def show_new_start(context):
+def list_new_incarnation(context):
     stage = context.gateway_stage
     _list_stage_instance(stage, 5000)
     context.service.forget_incarnation('i1')
 
 
 @then('the call ends at once, its pieces are made by the new incarnation')
-def check_made_again(context):
+def check_processed_again(context):
     stage = context.gateway_stage
-    (made,) = stage.run(asyncio.wait_for(context.running, _CALL_MS / 2000))
-    assert made.outcome is PieceOutcome.done
+    (result,) = stage.run(asyncio.wait_for(context.running, _CALL_MS / 2000))
+    assert result.outcome is PieceOutcome.done
     starts = [call.instance.started_unix_ms for call in context.sent]
     assert starts == [1000, 5000], starts
     record = stage.get_context().load_tracker.get('i1')
@@ -279,6 +283,6 @@
 
 @then('its space is free')
 def check_space_free(context):
-    gate = context.service.get_schedulers().get('stage')
-    kept = [one.handle for one in gate.result_space.pop_all()]
-    assert kept == ['h0'], kept
+    scheduler = context.service.get_schedulers().get('stage')
+    handles = [result.handle for result in scheduler.result_space.pop_all()]
+    assert handles == ['h0'], handles
--- a/tests/features/steps/lapsed_entries.py
+++ b/tests/features/steps/lapsed_entries.py
@@ -1,4 +1,4 @@
-"""Steps of entries of instances that lapse in an outage of the store."""
+"""Define steps for instance records that expire in a store outage."""
 
 import asyncio
 
@@ -15,22 +15,24 @@
 from tests.fixtures.store_followers import make_follower
 
 _KEYS = ('servers/a', 'servers/b')
-_AWAY_FROM_MS = st.integers(5000, 15_000)
-_AWAY_MS = 9000
-_END_MS = 9000
-# Entries end after three heartbeats of silence, of which one may be due.
-_LAPSE_MS = 2 * global_settings.INSTANCE_HEARTBEAT_MS
+_OUTAGE_START_MS = st.integers(5000, 15_000)
+_MAX_OUTAGE_MS = 9000
+# Run time after the last change of the store.
+_RUN_MS = 9000
+# Records expire three heartbeat intervals after the last heartbeat. Up to one
+# interval may have passed when the outage starts, so two is the earliest.
+_MIN_LAPSE_MS = 2 * global_settings.INSTANCE_HEARTBEAT_MS
 _EXAMPLES = settings(max_examples=150, deadline=None, derandomize=True)
 
 
-class _Lister:
-    """Keep a directory by what the store holds."""
+class _DirectorySubscriber:
+    """Maintain a directory from the records of the store."""
 
     def __init__(self) -> None:
         self.directory = Directory()
-        self.left_ms: dict[str, float] = {}
+        self.removed_ms: dict[str, float] = {}
 
-    def apply_entries(self, found, proved_ms) -> None:
+    def apply_entries(self, entries, confirmed_ms) -> None:
         listed = [
             UpstreamInstance(
                 instance=key,
@@ -39,31 +41,49 @@
                 failure_domain='one',
                 slots=1,
             )
-            for key in found
+            for key in entries
         ]
-        change = self.directory.replace(listed, proved_ms)
+        change = self.directory.replace(listed, confirmed_ms)
         now_ms = asyncio.get_running_loop().time() * 1000
-        self.left_ms.update(dict.fromkeys(change.left, now_ms))
+        self.removed_ms.update(dict.fromkeys(change.left, now_ms))
 
     def handle_store_unavailable(self, _detail) -> None:
         self.directory.record_outage()
 
 
-async def _play(context, away: range, befall) -> _Lister:
-    """Follow a store that is away for a while; return who was dropped when."""
+async def _run_poller(
+    context, outage: range, change_store
+) -> _DirectorySubscriber:
+    """
+    Poll a store through an outage while its records change.
+
+    Parameters
+    ----------
+    context : behave.runner.Context
+        Provides `bound_ms`, the bound on the delay of store changes.
+    outage : range
+        Times of the loop in ms during which calls are never answered.
+    change_store : callable
+        Coroutine function that changes records of the session given to it.
+
+    Returns
+    -------
+    _DirectorySubscriber
+        Its `removed_ms` maps each removed instance to its time of removal.
+    """
     loop = asyncio.get_running_loop()
     session = StoreSession()
     for key in _KEYS:
         session.put(key)
-    lister = _Lister()
-    follower = make_follower(session, lister, bound_ms=context.bound_ms)
-    session.lost_ms = away
+    subscriber = _DirectorySubscriber()
+    poller = make_follower(session, subscriber, bound_ms=context.bound_ms)
+    session.lost_ms = outage
     with use_monotonic(loop.get_ms):
-        following = asyncio.ensure_future(follower.run())
-        await befall(session)
-        await asyncio.sleep(_END_MS / 1000)
-        following.cancel()
-    return lister
+        polling = asyncio.ensure_future(poller.run())
+        await change_store(session)
+        await asyncio.sleep(_RUN_MS / 1000)
+        polling.cancel()
+    return subscriber
 
 
 async def _sleep_until(at_ms: float) -> None:
@@ -72,7 +92,7 @@
 
 
 @given('a bound of {bound_ms:d} ms and an outage of any length')
-def take_bound(context, bound_ms):
+def set_bound(context, bound_ms):
     context.bound_ms = bound_ms
 
 
@@ -82,26 +102,26 @@
 
     @_EXAMPLES
     @given_any(
-        _AWAY_FROM_MS,
-        st.integers(1, _AWAY_MS),
+        _OUTAGE_START_MS,
+        st.integers(1, _MAX_OUTAGE_MS),
         st.integers(after_ms, after_ms + 3000),
     )
-    def explore(from_ms, away_ms, later_ms):
-        away = range(from_ms, from_ms + away_ms)
-        left_ms = away.stop + later_ms
+    def explore(start_ms, outage_ms, delay_ms):
+        outage = range(start_ms, start_ms + outage_ms)
+        leave_ms = outage.stop + delay_ms
 
-        async def befall(session) -> None:
-            await _sleep_until(left_ms)
+        async def change_store(session) -> None:
+            await _sleep_until(leave_ms)
             session.remove(_KEYS[0])
 
-        lister = run_virtually(_play(context, away, befall))
-        context.waits_ms.append(lister.left_ms[_KEYS[0]] - left_ms)
+        subscriber = run_virtually(_run_poller(context, outage, change_store))
+        context.waits_ms.append(subscriber.removed_ms[_KEYS[0]] - leave_ms)
 
     explore()
 
 
 @then('it gets nothing {seen_ms:d} ms later')
-def check_left(context, seen_ms):
+def check_removed(context, seen_ms):
     assert max(context.waits_ms) <= seen_ms, max(context.waits_ms)
 
 
@@ -113,24 +133,24 @@
     context.dropped = []
 
     @_EXAMPLES
-    @given_any(_AWAY_FROM_MS, st.integers(_LAPSE_MS, _AWAY_MS))
-    def explore(from_ms, away_ms):
-        away = range(from_ms, from_ms + away_ms)
+    @given_any(_OUTAGE_START_MS, st.integers(_MIN_LAPSE_MS, _MAX_OUTAGE_MS))
+    def explore(start_ms, outage_ms):
+        outage = range(start_ms, start_ms + outage_ms)
 
-        async def befall(session) -> None:
-            await _sleep_until(away.start + _LAPSE_MS)
+        async def change_store(session) -> None:
+            await _sleep_until(outage.start + _MIN_LAPSE_MS)
             for key in _KEYS:
                 session.remove(key)
-            await _sleep_until(away.stop + back_ms)
+            await _sleep_until(outage.stop + back_ms)
             for key in _KEYS:
                 session.put(key)
 
-        lister = run_virtually(_play(context, away, befall))
-        context.dropped += lister.left_ms
+        subscriber = run_virtually(_run_poller(context, outage, change_store))
+        context.dropped += subscriber.removed_ms
 
     explore()
 
 
 @then('none is ever dropped')
-def check_kept(context):
+def check_none_dropped(context):
     assert not context.dropped, context.dropped
--- a/tests/features/steps/named_limits.py
+++ b/tests/features/steps/named_limits.py
@@ -1,4 +1,4 @@
-"""Steps of instances that name a limit."""
+"""Define steps for instances that advertise a limit."""
 
 import asyncio
 import math
@@ -25,19 +25,20 @@
 
 _LIMIT = 'Server-Limit'
 _WINDOW_S = 4
-# What the platform allows in any window: a multiple of the limit, and a
-# number of requests beside it.
-_RATIO = 1.5
-_SLACK = 5
-_SPAN_MS = 16_000
-# Requests of the limit that a play lasts for at least.
-_LEAST_REQUESTS = 30
-# Requests for each that the instances would take, and in a rush.
-_DEMAND = 2
-_RUSH = 8
+# The platform allows a multiple of the limit plus a fixed number of requests
+# in any window.
+_BURST_RATIO = 1.5
+_BURST_SLACK = 5
+_MIN_SPAN_MS = 16_000
+# A simulation is long enough for at least this many requests at the limit.
+_MIN_REQUESTS = 30
+# Offered load as a multiple of what the instances accept: in ordinary runs,
+# and in overload.
+_DEMAND_RATIO = 2
+_OVERLOAD_RATIO = 8
 _SEEDS = range(2)
 _EXAMPLES = settings(max_examples=400, deadline=None, derandomize=True)
-_MOMENT = st.integers(0, 20)
+_MOMENTS_MS = st.integers(0, 20)
 _LIMITS = st.sampled_from((1.0, 2.0, UNLIMITED_PER_S))
 _PATTERNS = {
     'all see everyone': 'the whole pool',
@@ -46,13 +47,13 @@
 }
 
 
-def count_allowed(limit_per_s: float) -> float:
-    return limit_per_s * _WINDOW_S * _RATIO + _SLACK
+def compute_max_requests(limit_per_s: float) -> float:
+    return limit_per_s * _WINDOW_S * _BURST_RATIO + _BURST_SLACK
 
 
 @given('{name:w} names a limit of {limit_per_s:g} request a second')
 @given('{name:w} names a limit of {limit_per_s:g} requests a second')
-def name_limit(context, name, limit_per_s):
+def advertise_limit(context, name, limit_per_s):
     upstream = context.gateway_stage.upstreams[name]
     upstream.notices = {_LIMIT: f'{limit_per_s:g}'}
 
@@ -80,11 +81,11 @@
 def check_allowed(context, name, limit):
     arrivals = context.gateway_stage.upstreams[name].arrivals
     arrived = len(arrivals) - context.arrived[name]
-    assert arrived <= count_allowed(limit), arrived
+    assert arrived <= compute_max_requests(limit), arrived
 
 
 @given('the gateway has been a member for long enough to send')
-def wait_settled(context):
+def wait_for_propagation(context):
     stage = context.gateway_stage
     senders = stage.get_context().throttle.senders
     stage.run(
@@ -95,12 +96,12 @@
 
 
 @given('{name:w} answers with a limit of {text}')
-def answer_limit(context, name, text):
+def respond_with_limit(context, name, text):
     context.gateway_stage.upstreams[name].notices = {_LIMIT: text}
 
 
 @when('{name:w} names no limit any more')
-def name_no_limit(context, name):
+def stop_advertising(context, name):
     context.gateway_stage.upstreams[name].notices = {}
 
 
@@ -125,7 +126,7 @@
 
 
 @when('callers post to {path:S} at that gateway until {name:w} has answered')
-def send_to_asked(context, path, name):
+def send_to_operator_gateway(context, path, name):
     stage = context.gateway_stage
     upstream = stage.upstreams[name]
 
@@ -139,25 +140,27 @@
 @then('the limit of {name:w} is {limit}, and it is logged as {event:w}')
 def check_read(context, name, limit, event):
     gateway = context.gateway_stage.get_context()
-    named = gateway.throttle.advertised_limits.find(
+    advertised = gateway.throttle.advertised_limits.find(
         f'{name}@0', get_boottime_ms()
     )
-    found = None if named is None else named.requests_per_s
-    assert found == (None if limit == 'none' else float(limit)), found
-    counted = {
+    limit_per_s = None if advertised is None else advertised.requests_per_s
+    assert limit_per_s == (None if limit == 'none' else float(limit)), (
+        limit_per_s
+    )
+    event_names = {
         'named': 'instance_named_limit',
         'unreadable': 'instance_limit_unreadable',
     }
     rendered = gateway.metrics.render().decode()
-    assert f'event="{counted[event]}"' in rendered, rendered
+    assert f'event="{event_names[event]}"' in rendered, rendered
 
 
-def _play(
+def _simulate(
     gateways: int,
     limit_per_s: float,
-    what: str,
-    way: str = 'ranked',
-    demand: float = _DEMAND,
+    wording: str,
+    policy_name: str = 'ranked',
+    demand: float = _DEMAND_RATIO,
 ) -> list:
     limits = derive_advertised_limits(limit_per_s)
     instances = max(2, gateways // 4)
@@ -165,12 +168,12 @@
         gateways=gateways,
         instances=instances,
         requests_per_s=demand * limit_per_s * instances,
-        span_ms=max(_SPAN_MS, _LEAST_REQUESTS / limit_per_s * 1000),
+        span_ms=max(_MIN_SPAN_MS, _MIN_REQUESTS / limit_per_s * 1000),
         window_ms=_WINDOW_S * 1000,
         is_uneven=True,
     )
-    policy = {**POLICIES, **WRONG_VARIANTS}[way]
-    pattern = PATTERNS[_PATTERNS[what]]
+    policy = {**POLICIES, **WRONG_VARIANTS}[policy_name]
+    pattern = PATTERNS[_PATTERNS[wording]]
     return [play(fleet, pattern, policy, limits, seed) for seed in _SEEDS]
 
 
@@ -178,45 +181,45 @@
     '{gateways:d} gateways send to a pool that names limits of {limit:g},'
     ' and {what}',
 )
-def play_shared(context, gateways, limit, what):
+def simulate_sharing(context, gateways, limit, what):
     context.limit = limit
-    context.plays = _play(gateways, limit, what)
+    context.results = _simulate(gateways, limit, what)
 
 
 @when(
     '{gateways:d} gateways send {variant} to a pool that names limits of'
     ' {limit:g}',
 )
-def play_wrong(context, gateways, variant, limit):
+def simulate_wrong_policy(context, gateways, variant, limit):
     context.limit = limit
-    context.plays = [
-        one
-        for what in _PATTERNS
-        for one in _play(gateways, limit, what, variant, _RUSH)
+    context.results = [
+        result
+        for wording in _PATTERNS
+        for result in _simulate(
+            gateways, limit, wording, variant, _OVERLOAD_RATIO
+        )
     ]
 
 
 @then('no instance gets more than its limit allows')
-def check_kept(context):
-    most = max(one.most for one in context.plays)
-    assert most <= count_allowed(context.limit), most
+def check_limit_kept(context):
+    most = max(result.most for result in context.results)
+    assert most <= compute_max_requests(context.limit), most
 
 
 @then('some instance gets more than its limit allows')
-def check_noticed(context):
-    most = max(one.most for one in context.plays)
-    assert most > count_allowed(context.limit), most
+def check_limit_exceeded(context):
+    most = max(result.most for result in context.results)
+    assert most > compute_max_requests(context.limit), most
 
 
 @then('the pool gets at least {part:g} of what it takes')
 def check_used(context, part):
-    used = min(one.used for one in context.plays)
+    used = min(result.used for result in context.results)
     assert used >= part, used
 
 
-def _make_answer(
-    limit_per_s: float, first: int, second: int
-) -> AdvertisedLimit:
+def _make_limit(limit_per_s: float, first: int, second: int) -> AdvertisedLimit:
     return AdvertisedLimit(
         requests_per_s=limit_per_s,
         sent_ms=min(first, second),
@@ -230,16 +233,25 @@
 )
 def check_order(context):
     @_EXAMPLES
-    @given_any(st.lists(st.builds(_make_answer, _LIMITS, _MOMENT, _MOMENT)))
-    def explore(answers):
+    @given_any(
+        st.lists(st.builds(_make_limit, _LIMITS, _MOMENTS_MS, _MOMENTS_MS))
+    )
+    def explore(advertised):
         limits = AdvertisedLimits()
-        for answer in answers:
-            limits.record('u1@0', answer)
-        named = limits.find('u1@0', 0)
-        believed = UNLIMITED_PER_S if named is None else named.requests_per_s
-        for answer in answers:
-            is_over = any(one.sent_ms >= answer.received_ms for one in answers)
-            assert believed <= answer.requests_per_s or is_over, answer
+        for advertised_limit in advertised:
+            limits.record('u1@0', advertised_limit)
+        active = limits.find('u1@0', 0)
+        active_per_s = (
+            UNLIMITED_PER_S if active is None else active.requests_per_s
+        )
+        for advertised_limit in advertised:
+            is_superseded = any(
+                other.sent_ms >= advertised_limit.received_ms
+                for other in advertised
+            )
+            assert (
+                active_per_s <= advertised_limit.requests_per_s or is_superseded
+            ), advertised_limit
 
     explore()
 
@@ -247,37 +259,41 @@
 @then('the echo changes nothing')
 def check_echo(context):
     limits = AdvertisedLimits()
-    limits.record('u1@0', _make_answer(1, 1_000, 2_000))
+    limits.record('u1@0', _make_limit(1, 1_000, 2_000))
     for now_ms in range(2_100, 12_100, 500):
-        told = make_limit_update(limits.choose_to_send(now_ms)['u1@0'], now_ms)
+        update = make_limit_update(
+            limits.choose_to_send(now_ms)['u1@0'], now_ms
+        )
         echo = read_limit_update(
-            told, sent_after_ms=now_ms, now_ms=now_ms + 400
+            update, sent_after_ms=now_ms, now_ms=now_ms + 400
         )
         assert not limits.record_received('u1@0', echo)
-    assert limits.find('u1@0', 12_000) == _make_answer(1, 1_000, 2_000)
+    assert limits.find('u1@0', 12_000) == _make_limit(1, 1_000, 2_000)
 
 
 @then('each is told in turn, those that have changed first')
-def check_told(context):
+def check_sent_in_turn(context):
     limits = AdvertisedLimits()
-    room = global_settings.LIMITS_IN_MESSAGE
-    for number in range(3 * room):
-        limits.record(f'i{number}@0', _make_answer(1, 0, 1))
+    max_limits = global_settings.LIMITS_IN_MESSAGE
+    for number in range(3 * max_limits):
+        limits.record(f'i{number}@0', _make_limit(1, 0, 1))
     now_ms = global_settings.LIMITS_TOLD_FIRST_MS + 10
-    limits.record('i0@0', _make_answer(2, now_ms - 2, now_ms - 1))
-    told = [limits.choose_to_send(now_ms) for _ in range(4)]
-    assert all('i0@0' in one and len(one) <= room for one in told)
-    everyone = set().union(*told)
-    assert len(everyone) == 3 * room, len(everyone)
+    limits.record('i0@0', _make_limit(2, now_ms - 2, now_ms - 1))
+    updates = [limits.choose_to_send(now_ms) for _ in range(4)]
+    assert all(
+        'i0@0' in update and len(update) <= max_limits for update in updates
+    )
+    sent = set().union(*updates)
+    assert len(sent) == 3 * max_limits, len(sent)
 
 
 @then('it ends some time after the last answer')
-def check_end(context):
+def check_expiry(context):
     limits = AdvertisedLimits()
-    limits.record('u1@0', _make_answer(1, 0, 10))
-    believed_ms = global_settings.NAMED_LIMIT_BELIEVED_MS
-    assert limits.find('u1@0', believed_ms - 1)
-    assert not limits.find('u1@0', believed_ms)
+    limits.record('u1@0', _make_limit(1, 0, 10))
+    ttl_ms = global_settings.NAMED_LIMIT_BELIEVED_MS
+    assert limits.find('u1@0', ttl_ms - 1)
+    assert not limits.find('u1@0', ttl_ms)
     assert math.isclose(
-        limits.get_remaining_ms(_make_answer(1, 0, 10), 0), 60_000
+        limits.get_remaining_ms(_make_limit(1, 0, 10), 0), 60_000
     )
--- a/tests/features/steps/quarantine.py
+++ b/tests/features/steps/quarantine.py
@@ -1,4 +1,4 @@
-"""Steps of requests that crash the instances that run them."""
+"""Define steps for requests that crash the instances that run them."""
 
 from dataclasses import dataclass
 
@@ -11,62 +11,64 @@
 from tests.fixtures.staged import NAMES
 from tests.standins.upstream import CRASHING_KEY
 
-_LEAST_INSTANCES = 4
-# Reads of the store by all gateways between two tries: longer than what one
-# gateway needs to hear from another.
-_READS_BETWEEN = 2 * len(NAMES)
-_LAST_TRIES = 4
-_MUCH_LATER_S = 10
-_RECORDS = 'quarantine/'
+_MIN_INSTANCES = 4
+# Store reads by all gateways between two attempts: these take longer than an
+# update takes from one gateway to another.
+_READS_BETWEEN_ATTEMPTS = 2 * len(NAMES)
+_LAST_ATTEMPTS = 4
+_MIN_RETRY_AFTER_S = 10
+_RECORDS_PREFIX = 'quarantine/'
 
 
 @dataclass(kw_only=True)
-class _Crashing:
-    """Hold the pool whose instances crash, and those that are listed."""
+class _CrashingPool:
+    """Hold the pool whose instances crash and its listed instances."""
 
     pool: str
-    present: set[str]
+    listed: set[str]
 
 
 @given('instances that crash come back under another name')
 def prepare_instances(context):
     stage = context.gateway_stage
-    context.crashing = _Crashing(pool='plain', present={'u1', 'u2'})
-    stage.run(_restore(stage, context.crashing))
+    context.crashing_pool = _CrashingPool(pool='plain', listed={'u1', 'u2'})
+    stage.run(_replace_crashed(stage, context.crashing_pool))
 
 
 @given('instances for stage work that crash come back under another name')
 def prepare_stage_instances(context):
     stage = context.gateway_stage
-    context.crashing = _Crashing(pool='stage', present={'s1'})
-    stage.run(_restore(stage, context.crashing))
+    context.crashing_pool = _CrashingPool(pool='stage', listed={'s1'})
+    stage.run(_replace_crashed(stage, context.crashing_pool))
 
 
-async def _restore(stage, crashing) -> None:
+async def _replace_crashed(stage, crashing_pool) -> None:
     """Replace instances that have crashed, as the platform does."""
     for name, upstream in list(stage.upstreams.items()):
-        if upstream.has_crashed and name in crashing.present:
+        if upstream.has_crashed and name in crashing_pool.listed:
             await stage.hide(name)
-            crashing.present.discard(name)
-    while len(crashing.present) < _LEAST_INSTANCES:
+            crashing_pool.listed.discard(name)
+    while len(crashing_pool.listed) < _MIN_INSTANCES:
         name = f'u{len(stage.upstreams) + 1}'
-        await stage.add_upstream(name, crashing.pool)
-        crashing.present.add(name)
+        await stage.add_upstream(name, crashing_pool.pool)
+        crashing_pool.listed.add(name)
     await stage.wait_for(
-        lambda: all(_knows(stage, name, crashing) for name in NAMES),
+        lambda: all(
+            _is_up_to_date(stage, name, crashing_pool) for name in NAMES
+        ),
     )
 
 
-def _knows(stage, gateway: str, crashing) -> bool:
-    pool = stage.get_context(gateway).directory.get_pool(crashing.pool)
-    return {one.instance for one in pool} == crashing.present
+def _is_up_to_date(stage, gateway: str, crashing_pool) -> bool:
+    pool = stage.get_context(gateway).directory.get_pool(crashing_pool.pool)
+    return {instance.instance for instance in pool} == crashing_pool.listed
 
 
 @when('a caller posts to {path:S} {count:d} times, at each gateway in turn')
 def send_in_turn(context, path, count):
     stage = context.gateway_stage
     context.answers = stage.run(
-        _send_in_turn(stage, context.crashing, path, count),
+        _send_in_turn(stage, context.crashing_pool, path, count),
     )
 
 
@@ -77,19 +79,21 @@
         'X-Ragworthollow-Pieces': '2,1',
         'X-Ragworthollow-Piece-Key': CRASHING_KEY,
     }
-    stage.run(_send_in_turn(stage, context.crashing, path, count, headers))
+    stage.run(_send_in_turn(stage, context.crashing_pool, path, count, headers))
 
 
-async def _send_in_turn(stage, crashing, path, count, headers=None) -> list:
-    answers = []
+async def _send_in_turn(
+    stage, crashing_pool, path, count, headers=None
+) -> list:
+    responses = []
     for number in range(count):
         gateway = NAMES[number % len(NAMES)]
-        answers.append(
+        responses.append(
             await stage.send(path, gateway=gateway, headers=headers),
         )
-        await stage.wait_reads(_READS_BETWEEN)
-        await _restore(stage, crashing)
-    return answers
+        await stage.wait_reads(_READS_BETWEEN_ATTEMPTS)
+        await _replace_crashed(stage, crashing_pool)
+    return responses
 
 
 @then('no more than {count:d} instances have crashed')
@@ -104,41 +108,47 @@
 
 @then('the last tries were refused as not run, to come back much later')
 def check_refusals(context):
-    for answer in context.answers[-_LAST_TRIES:]:
-        assert answer.status == 503, answer
-        assert float(answer.headers['Retry-After']) > _MUCH_LATER_S, answer
+    for response in context.answers[-_LAST_ATTEMPTS:]:
+        assert response.status == 503, response
+        assert float(response.headers['Retry-After']) > _MIN_RETRY_AFTER_S, (
+            response
+        )
 
 
 @then('a caller posts to {path:S} and is served at each gateway')
-def check_others(context, path):
+def check_served_at_each(context, path):
     stage = context.gateway_stage
     for gateway in NAMES:
-        answer = stage.run(stage.send(path, gateway=gateway))
-        assert answer.status == 200, answer
+        response = stage.run(stage.send(path, gateway=gateway))
+        assert response.status == 200, response
 
 
 @given('a gateway that operators can ask')
-def add_asked_gateway(context):
+def add_operator_gateway(context):
     stage = context.gateway_stage
-    context.asked = f'{HOST}:{stage.ports.take()}'
-    stage.run(stage.add_gateway('asked', metrics_address=context.asked))
+    context.metrics_address = f'{HOST}:{stage.ports.take()}'
+    stage.run(
+        stage.add_gateway('asked', metrics_address=context.metrics_address)
+    )
     stage.run(stage.wait_configured('asked'))
 
 
 @then('operators are shown the request and {count:d} crashes')
 def check_shown(context, count):
     stage = context.gateway_stage
-    shown = stage.run(run_command(quarantine, context.asked))
-    context.fingerprint, left, unit, *crashes = shown.split()
-    assert int(left) > _MUCH_LATER_S, shown
-    assert unit == 's', shown
-    assert len(crashes) == count, shown
+    output = stage.run(run_command(quarantine, context.metrics_address))
+    context.fingerprint, remaining, unit, *crashes = output.split()
+    assert int(remaining) > _MIN_RETRY_AFTER_S, output
+    assert unit == 's', output
+    assert len(crashes) == count, output
 
 
 @when('they have it released')
 def release_request(context):
     stage = context.gateway_stage
-    stage.run(run_command(release, context.fingerprint, context.asked))
+    stage.run(
+        run_command(release, context.fingerprint, context.metrics_address)
+    )
 
 
 @then('it is quarantined at no gateway')
@@ -148,7 +158,10 @@
     stage.run(
         stage.wait_for(
             lambda: (
-                not any(one.quarantine.list_quarantined() for one in contexts)
+                not any(
+                    gateway.quarantine.list_quarantined()
+                    for gateway in contexts
+                )
             ),
         ),
     )
@@ -162,4 +175,4 @@
 
 
 def _count_records(stage) -> int:
-    return sum(key.startswith(_RECORDS) for key in stage.store.entries)
+    return sum(key.startswith(_RECORDS_PREFIX) for key in stage.store.entries)
--- a/tests/features/steps/recorded_days.py
+++ b/tests/features/steps/recorded_days.py
@@ -1,4 +1,4 @@
-"""Steps of days that are read from logs."""
+"""Define steps for days of load that are read from logs."""
 
 import tempfile
 from pathlib import Path
@@ -12,7 +12,7 @@
 _POOL = 'wire-name'
 
 
-def _write(rows: list[dict]) -> str:
+def _format_log(rows: list[dict]) -> str:
     return ''.join(
         f'{msgspec.json.encode({"time_ms": 1000, **row}).decode()}\n'
         for row in rows
@@ -47,7 +47,7 @@
         }
         for name in names
     ]
-    context.log_text = _write(rows)
+    context.log_text = _format_log(rows)
 
 
 @then('its bound is between {low:g} and {high:g}')
@@ -55,5 +55,5 @@
     with tempfile.TemporaryDirectory() as folder:
         path = Path(folder) / 'log'
         path.write_text(context.log_text)
-        found = bound_recorded(read_load('kingston'), path)
-    assert low <= found <= high, found
+        bound = bound_recorded(read_load('kingston'), path)
+    assert low <= bound <= high, bound
--- a/tests/features/steps/store_bounds.py
+++ b/tests/features/steps/store_bounds.py
@@ -1,4 +1,4 @@
-"""Steps of the time in which a change of the store is noticed."""
+"""Define steps for the delay until a store change is noticed."""
 
 import asyncio
 from types import SimpleNamespace
@@ -15,34 +15,34 @@
 from tests.fixtures.store_followers import make_follower
 from tests.standins.thin_link import BYTES_PER_MBIT
 
-_END_S = 30
+_OBSERVATION_S = 30
 _CONFIGURATION = 'op/config'
 _MOMENTS_MS = st.integers(0, 8000)
 _EXAMPLES = settings(max_examples=300, deadline=None, derandomize=True)
 
 
-def _run(answer_ms: int, away_ms: range, changed_ms: int) -> float:
-    """Return how long it took until a change was seen."""
+def _measure_delay_ms(answer_ms: int, outage: range, changed_ms: int) -> float:
+    """Return the delay in ms until a change was read, across an outage."""
     session = StoreSession()
     session.answer_ms = answer_ms
-    session.lost_ms = away_ms
+    session.lost_ms = outage
     case = SimpleNamespace(size_bytes=1, is_mute=False, later_ms=0)
-    return run_virtually(_change(case, session, changed_ms))
+    return run_virtually(_measure_change_ms(case, session, changed_ms))
 
 
 @given('polls that are answered in {answer_ms:d} ms and one of which is lost')
 def lose_one(context, answer_ms):
     context.answer_ms = answer_ms
     # Any span shorter than the timeout contains the start of one call at most.
-    context.longest_ms = global_settings.STORE_TIMEOUT_MS
+    context.max_outage_ms = global_settings.STORE_TIMEOUT_MS
 
 
 @given(
     'polls that are answered in {answer_ms:d} ms during an outage of any length'
 )
-def be_away(context, answer_ms):
+def make_store_unavailable(context, answer_ms):
     context.answer_ms = answer_ms
-    context.longest_ms = 9000
+    context.max_outage_ms = 9000
 
 
 @when('a change is accepted at any moment')
@@ -50,13 +50,13 @@
     context.cases = []
 
     @_EXAMPLES
-    @given_any(_MOMENTS_MS, st.integers(1, context.longest_ms), _MOMENTS_MS)
-    def explore(away_from_ms, away_ms, changed_ms):
-        away_to_ms = away_from_ms + away_ms
-        away = range(away_from_ms, away_to_ms)
-        waited_ms = _run(context.answer_ms, away, changed_ms)
-        seen_ms = changed_ms + waited_ms
-        context.cases.append((changed_ms, away_to_ms, seen_ms))
+    @given_any(_MOMENTS_MS, st.integers(1, context.max_outage_ms), _MOMENTS_MS)
+    def explore(start_ms, outage_ms, changed_ms):
+        end_ms = start_ms + outage_ms
+        outage = range(start_ms, end_ms)
+        delay_ms = _measure_delay_ms(context.answer_ms, outage, changed_ms)
+        seen_ms = changed_ms + delay_ms
+        context.cases.append((changed_ms, end_ms, seen_ms))
 
     explore()
 
@@ -70,61 +70,65 @@
 @then('it is read within {bound_ms:d} ms of the end of the outage')
 def check_bound_after(context, bound_ms):
     worst = max(
-        seen - max(changed, away_to)
-        for changed, away_to, seen in context.cases
-        if changed < away_to
+        seen - max(changed, outage_end)
+        for changed, outage_end, seen in context.cases
+        if changed < outage_end
     )
     assert worst <= bound_ms, worst
 
 
-class _Watcher:
-    """Note when each version of the configuration was first seen."""
+class _ConfigurationSubscriber:
+    """Record when each revision of the configuration was first read."""
 
     def __init__(self) -> None:
         self.seen_ms: dict[int, float] = {}
 
-    def apply_entries(self, found, _asked_ms) -> None:
-        stored = found.get(_CONFIGURATION)
+    def apply_entries(self, entries, _confirmed_ms) -> None:
+        stored = entries.get(_CONFIGURATION)
         if stored is not None:
             now_ms = asyncio.get_running_loop().time() * 1000
             self.seen_ms.setdefault(stored.mod_revision, now_ms)
 
     def handle_store_unavailable(self, _detail) -> None:
-        """Go on."""
+        """Ignore failures to read the store."""
 
 
-async def _change_once(case, changed_ms: int, lost_from_ms: int) -> float:
-    """Return how long it took until a change was seen."""
+async def _measure_with_lost_call_ms(
+    case, changed_ms: int, lost_from_ms: int
+) -> float:
+    """Return the delay in ms until a change was read, with one call lost."""
     session = StoreSession(case.bytes_per_s)
     # Any span shorter than the timeout contains the start of one call at most.
     session.lost_ms = range(
         lost_from_ms,
         lost_from_ms + global_settings.STORE_TIMEOUT_MS,
     )
-    return await _change(case, session, changed_ms)
+    return await _measure_change_ms(case, session, changed_ms)
 
 
-async def _change(case, session: StoreSession, changed_ms: int) -> float:
+async def _measure_change_ms(
+    case, session: StoreSession, changed_ms: int
+) -> float:
     loop = asyncio.get_running_loop()
-    watcher = _Watcher()
+    subscriber = _ConfigurationSubscriber()
     session.put(_CONFIGURATION, case.size_bytes)
-    follower = make_follower(session, watcher)
+    poller = make_follower(session, subscriber)
     with use_monotonic(loop.get_ms):
-        polling = asyncio.ensure_future(follower.run())
+        polling = asyncio.ensure_future(poller.run())
         await asyncio.sleep(changed_ms / 1000)
         session.is_mute = case.is_mute
         await asyncio.sleep(case.later_ms / 1000)
         revision = session.put(_CONFIGURATION, case.size_bytes)
-        await asyncio.sleep(_END_S)
+        await asyncio.sleep(_OBSERVATION_S)
         polling.cancel()
-    return watcher.seen_ms[revision] - changed_ms - case.later_ms
+    return subscriber.seen_ms[revision] - changed_ms - case.later_ms
 
 
 @given(
     'a configuration of {size_kb:d} kB, a link of {mbit_per_s:d} Mbit/s '
     'and one lost call',
 )
-def behind_thin_link(context, size_kb, mbit_per_s):
+def configure_thin_link(context, size_kb, mbit_per_s):
     context.case = SimpleNamespace(
         size_bytes=size_kb * 1000,
         bytes_per_s=mbit_per_s * BYTES_PER_MBIT,
@@ -134,7 +138,7 @@
 
 
 @given('a store whose watches fall silent at any moment')
-def fall_silent(context):
+def mute_watches(context):
     context.case = SimpleNamespace(
         size_bytes=1,
         bytes_per_s=float('inf'),
@@ -144,15 +148,19 @@
 
 
 @when('a change is accepted at any moment after that')
-def change_in_silence(context):
+def change_while_muted(context):
     context.waits_ms = []
 
     @_EXAMPLES
     @given_any(st.integers(4000, 5000), st.integers(0, 2000))
-    def explore(silent_ms, later_ms):
+    def explore(muted_ms, later_ms):
         context.case.later_ms = later_ms
         context.waits_ms.append(
-            run_virtually(_change_once(context.case, silent_ms, _END_S * 1000)),
+            run_virtually(
+                _measure_with_lost_call_ms(
+                    context.case, muted_ms, _OBSERVATION_S * 1000
+                )
+            ),
         )
 
     explore()
@@ -167,7 +175,9 @@
     def explore(changed_ms, lost_from_ms):
         context.waits_ms.append(
             run_virtually(
-                _change_once(context.case, changed_ms, lost_from_ms),
+                _measure_with_lost_call_ms(
+                    context.case, changed_ms, lost_from_ms
+                ),
             ),
         )
 
@@ -175,5 +185,5 @@
 
 
 @then('it is in force within {bound_ms:d} ms')
-def check_in_force(context, bound_ms):
+def check_active(context, bound_ms):
     assert max(context.waits_ms) <= bound_ms, max(context.waits_ms)
--- a/tests/features/steps/warm_up.py
+++ b/tests/features/steps/warm_up.py
@@ -1,4 +1,4 @@
-"""Steps of instances that warm up."""
+"""Define steps for instances that warm up."""
 
 import asyncio
 import math
@@ -26,17 +26,17 @@
 _REQUESTS_PER_S = 160
 _SEEDS = range(3)
 _COLD_MS = 60_000
-_AT_ONCE_S = 3
+_IMMEDIATE_S = 3
 _EXAMPLES = settings(max_examples=500, deadline=None, derandomize=True)
 
 
-def _play(gateways: int, pattern: str, way: str) -> list[int]:
+def _simulate(gateways: int, pattern: str, policy_name: str) -> list[int]:
     fleet = Fleet(
         gateways=gateways,
         instances=_INSTANCES,
         requests_per_s=_REQUESTS_PER_S,
     )
-    make_policy = {**POLICIES, **WRONG_VARIANTS}[way]
+    make_policy = {**POLICIES, **WRONG_VARIANTS}[policy_name]
     return [
         play(fleet, PATTERNS[pattern], make_policy, _LIMITS, seed).most
         for seed in _SEEDS
@@ -45,22 +45,22 @@
 
 @when('{gateways:d} gateways send to a pool in which {what} warms up')
 def send_to_some(context, gateways, what):
-    context.most = _play(gateways, what, 'ranked')
+    context.most = _simulate(gateways, what, 'ranked')
 
 
 @when(
     '{gateways:d} gateways send to a pool that warms up, and there are {what}',
 )
-def send_apart(context, gateways, what):
-    context.most = _play(gateways, what, 'ranked')
+def send_partitioned(context, gateways, what):
+    context.most = _simulate(gateways, what, 'ranked')
 
 
 @when('{gateways:d} gateways send {variant} to a pool that warms up')
-def send_wrongly(context, gateways, variant):
+def send_with_wrong_policy(context, gateways, variant):
     context.most = [
         most
         for pattern in ('the whole pool', 'all gateways new')
-        for most in _play(gateways, pattern, variant)
+        for most in _simulate(gateways, pattern, variant)
     ]
 
 
@@ -70,14 +70,14 @@
 
 
 @then('some instance gets more than its burst')
-def check_caught(context):
+def check_burst_exceeded(context):
     assert max(context.most) > _LIMITS.burst, context.most
 
 
 @then(
     'for any of them two choices of senders together keep within the burst',
 )
-def check_shares(context):
+def check_quotas(context):
     @_EXAMPLES
     @given_any(
         st.floats(0.1, 100),
@@ -91,11 +91,11 @@
             burst_ratio=ratio,
             burst_slack=slack,
         )
-        share = derive_quota(limits, gateways)
-        # One request is the least that can be sent.
-        most = max(1, limits.burst // 2)
-        assert share.senders * share.requests <= most, (limits, share)
-        assert share.senders <= gateways
+        quota = derive_quota(limits, gateways)
+        # At least one request must be allowed, also where the burst is 1.
+        max_requests = max(1, limits.burst // 2)
+        assert quota.senders * quota.requests <= max_requests, (limits, quota)
+        assert quota.senders <= gateways
 
     explore()
 
@@ -103,14 +103,14 @@
 @then(
     'a gateway that is no longer listed sends nothing until it has settled',
 )
-def check_settled(context):
+def check_propagation(context):
     senders = make_throttle('g1').senders
-    everyone = ('g1', 'g2', 'g3')
-    senders.set_members(everyone, 0)
+    members = ('g1', 'g2', 'g3')
+    senders.set_members(members, 0)
     assert senders.is_chosen('i1', 3, SETTLE_MS)
     senders.set_members(('g2',), 10_000)
     assert not senders.is_chosen('i1', 3, 20_000)
-    senders.set_members(everyone, 30_000)
+    senders.set_members(members, 30_000)
     assert not senders.is_chosen('i1', 3, 30_000 + SETTLE_MS - 1)
     assert senders.is_chosen('i1', 3, 30_000 + SETTLE_MS)
 
@@ -139,9 +139,9 @@
 
 async def _configure(stage) -> None:
     plain, *others = stage.configuration['services']
-    cold = {**plain, 'cold_start_s': 60.0, 'cold_per_s': 2.0}
+    warming_service = {**plain, 'cold_start_s': 60.0, 'cold_per_s': 2.0}
     version = stage.configuration['version'] + 1
-    await stage.configure(version=version, services=[cold, *others])
+    await stage.configure(version=version, services=[warming_service, *others])
     for name in stage.gateways:
         await stage.wait_configured(name)
     senders = [
@@ -149,25 +149,28 @@
     ]
     await stage.wait_for(
         lambda: all(
-            any(one.is_chosen(start, 1, get_monotonic_ms()) for one in senders)
-            for start in ('u1@0', 'u2@0')
+            any(
+                sender.is_chosen(incarnation, 1, get_monotonic_ms())
+                for sender in senders
+            )
+            for incarnation in ('u1@0', 'u2@0')
         ),
     )
 
 
-async def _show(stage, name: str, cold_left_ms: float) -> None:
+async def _report_warm_up(stage, name: str, cold_left_ms: float) -> None:
     await stage.show(name, 'plain', cold_left_ms=cold_left_ms)
     contexts = [role.context for role in stage.gateways.values()]
     await stage.wait_for(
         lambda: all(
             bool(
-                one.throttle.warm_ups.get_remaining_ms(
+                context.throttle.warm_ups.get_remaining_ms(
                     f'{name}@0',
                     get_monotonic_ms(),
                 ),
             )
             is bool(cold_left_ms)
-            for one in contexts
+            for context in contexts
         ),
     )
 
@@ -183,18 +186,18 @@
     configure(context)
     stage = context.gateway_stage
     for name in ('u1', 'u2'):
-        stage.run(_show(stage, name, _COLD_MS))
+        stage.run(_report_warm_up(stage, name, _COLD_MS))
 
 
 @given('u1 warms up for 60 seconds, and bears 2 requests a second')
 def warm_up_one(context):
     configure(context)
     stage = context.gateway_stage
-    stage.run(_show(stage, 'u1', _COLD_MS))
+    stage.run(_report_warm_up(stage, 'u1', _COLD_MS))
 
 
 @given('u1 and u2 have become cold, which only their answers say')
-def become_cold(context):
+def respond_as_cold(context):
     for name in ('u1', 'u2'):
         context.gateway_stage.upstreams[name].notices = {
             'X-Ragworthollow-Cold-Ms': str(_COLD_MS),
@@ -202,10 +205,10 @@
 
 
 @when('the entries of u1 and u2 say that they are warm')
-def become_warm(context):
+def report_as_warm(context):
     stage = context.gateway_stage
     for name in ('u1', 'u2'):
-        stage.run(_show(stage, name, 0))
+        stage.run(_report_warm_up(stage, name, 0))
 
 
 @when('domain one was drained and is restored')
@@ -223,16 +226,18 @@
 
 
 @when('callers have got an answer of u1 and of u2')
-def ask_both(context):
+def send_until_both_respond(context):
     stage = context.gateway_stage
-    both = [stage.upstreams[name] for name in ('u1', 'u2')]
+    upstreams = [stage.upstreams[name] for name in ('u1', 'u2')]
 
-    async def ask() -> None:
-        while not all(one.runs for one in both):
+    async def send() -> None:
+        while not all(upstream.runs for upstream in upstreams):
             await stage.send('/safe/answer')
 
-    stage.run(ask())
-    context.before = {one.name: len(one.runs) for one in both}
+    stage.run(send())
+    context.before = {
+        upstream.name: len(upstream.runs) for upstream in upstreams
+    }
 
 
 @when('{count:d} callers post to /safe/answer at the same time')
@@ -268,21 +273,21 @@
 
 
 @then('some were served, and the others refused at once as not run')
-def check_some(context):
-    statuses = [answer.status for answer in context.answers]
+def check_some_served(context):
+    statuses = [response.status for response in context.answers]
     assert set(statuses) == {200, 503}, statuses
-    assert context.took_s < _AT_ONCE_S, context.took_s
-    for answer in context.answers:
-        assert answer.status == 200 or 'Retry-After' in answer.headers
+    assert context.took_s < _IMMEDIATE_S, context.took_s
+    for response in context.answers:
+        assert response.status == 200 or 'Retry-After' in response.headers
 
 
 @then('all of them were served')
-def check_all(context):
-    assert {answer.status for answer in context.answers} == {200}
+def check_all_served(context):
+    assert {response.status for response in context.answers} == {200}
 
 
 @then('{name:w} got no more than 2 requests')
-def check_few(context, name):
+def check_max_requests(context, name):
     runs = len(context.gateway_stage.upstreams[name].runs)
     before = getattr(context, 'before', {}).get(name, 0)
     assert runs - before <= 2, runs
@@ -290,6 +295,6 @@
 
 @then('neither u1 nor u2 got more than 2 requests')
 @then('neither u1 nor u2 got more than 2 requests after that')
-def check_both_few(context):
-    check_few(context, 'u1')
-    check_few(context, 'u2')
+def check_max_requests_of_both(context):
+    check_max_requests(context, 'u1')
+    check_max_requests(context, 'u2')
