--- a/tests/features/steps/crash_evidence.py
+++ b/tests/features/steps/crash_evidence.py
@@ -47,7 +47,7 @@
 
 
 @given('a request that was running in {count:d} crashes')
-def crash_first(context, count):
+def create_crashing_request(context, count):
     context.registry = _make_registry()
     context.now_ms = 1_000
     context.crashes = 0
--- a/tests/features/steps/domain_drains.py
+++ b/tests/features/steps/domain_drains.py
@@ -24,11 +24,11 @@
 from tests.fixtures.staged import send_staged
 from tests.fixtures.throttles import make_throttle
 
-_PREFIX = 'op/evacuate/'
+_DRAIN_PREFIX = 'op/evacuate/'
 _VALUES = {'an empty mapping': '{}', 'nothing': '', 'broken text': '{"a": '}
-_EVENTS = 5
+_STREAM_EVENTS = 5
 # Later than any reading of this machine's monotonic clock.
-_NEVER_MS = 1e15
+_FAR_FUTURE_MS = 1e15
 # Less than the time limit of these callers: a response within it was not
 # delayed until the callers time out.
 _IMMEDIATE_S = 3
@@ -43,7 +43,7 @@
 
 
 async def _drain(stage, domain: str, text: str | None) -> None:
-    await stage.write({f'{_PREFIX}{domain}': text})
+    await stage.write({f'{_DRAIN_PREFIX}{domain}': text})
     is_drained = text is not None
     await stage.wait_for(
         lambda: all(
@@ -221,7 +221,7 @@
 def check_stream_complete(context):
     assert context.answer.status == 200
     assert context.answer.is_whole
-    assert context.answer.body.count(b'data:') == _EVENTS
+    assert context.answer.body.count(b'data:') == _STREAM_EVENTS
 
 
 @then('no result was given up at {name:w}')
@@ -273,8 +273,8 @@
 def _make_piece(number: int) -> Piece:
     """Make a piece of the second stage; its first stage has already run."""
     return make_waiting(
-        _NEVER_MS,
-        expires_ms=_NEVER_MS,
+        _FAR_FUTURE_MS,
+        expires_ms=_FAR_FUTURE_MS,
         number=number,
         inputs=('10.0.0.1:80/1',),
     ).piece
@@ -308,10 +308,10 @@
 
 
 @when('an instance lapses in an outage and its domain is drained')
-def lapse_and_drain(context):
+def expire_and_drain(context):
     subscriber, directory = _make_subscriber()
     listed = _make_entries('servers/i1')
-    drained = _make_entries(f'{_PREFIX}two')
+    drained = _make_entries(f'{_DRAIN_PREFIX}two')
     subscriber.apply_entries(listed, 0)
     subscriber.handle_store_unavailable('')
     context.seen = []
@@ -328,7 +328,7 @@
 
 
 @then('no list gives it work until the drain ends')
-def check_lapsed(context):
+def check_no_work_until_drain_end(context):
     assert not any(context.seen), context.seen
     assert len(context.last) == 1
 
@@ -342,7 +342,7 @@
             StoreSnapshot(found=listed, revision=1, size_bytes=1),
         )
         replica.freshness.record(0)
-    drain_key = f'{_PREFIX}two'
+    drain_key = f'{_DRAIN_PREFIX}two'
     sender.view.replace(
         StoreSnapshot(
             found={**listed, drain_key: Stored(mod_revision=2)},
--- a/tests/features/steps/gate_hosts.py
+++ b/tests/features/steps/gate_hosts.py
@@ -11,7 +11,7 @@
 from tests.fixtures.staged import NAMES, send_staged
 
 # Later than any reading of this machine's monotonic clock.
-_NEVER_MS = 1e15
+_FAR_FUTURE_MS = 1e15
 
 
 def _find_host(stage) -> str:
@@ -112,7 +112,7 @@
             handle=handle,
             instance='s1',
             result_bytes=1_000_000,
-            expires_ms=_NEVER_MS,
+            expires_ms=_FAR_FUTURE_MS,
         ),
     )
     other = next(name for name in NAMES if name != host)
--- a/tests/features/steps/instance_entries.py
+++ b/tests/features/steps/instance_entries.py
@@ -59,7 +59,7 @@
 }
 _CALL_MS = 20_000
 # Later than any reading of this machine's monotonic clock.
-_NEVER_MS = 1e15
+_FAR_FUTURE_MS = 1e15
 
 
 def _make_entry(change: str) -> bytes:
@@ -123,14 +123,14 @@
     assert rejected == ['servers/bad'], rejected
 
 
-_JSON = st.recursive(
+_JSON_VALUES = st.recursive(
     st.none() | st.booleans() | st.integers() | st.text(),
     lambda inner: st.lists(inner) | st.dictionaries(st.text(), inner),
     max_leaves=8,
 )
-_TEXTS = st.one_of(
+_RECORD_TEXTS = st.one_of(
     st.binary(),
-    st.dictionaries(st.sampled_from(sorted(_ENTRY)), _JSON).map(
+    st.dictionaries(st.sampled_from(sorted(_ENTRY)), _JSON_VALUES).map(
         lambda changes: msgspec.json.encode({**_ENTRY, **changes}),
     ),
 )
@@ -139,7 +139,7 @@
 @then('any bytes in one entry leave the others as they were')
 def check_others_unaffected(context):
     @settings(max_examples=300, deadline=None, derandomize=True)
-    @for_all(text=_TEXTS)
+    @for_all(text=_RECORD_TEXTS)
     def check(text):
         subscriber, directory = _make_subscriber()
         subscriber.apply_entries(
@@ -170,7 +170,7 @@
     'an instance that failed {failures:d} times '
     'with {running:d} requests of ours running',
 )
-def make_failed(context, failures, running):
+def create_failed_instance(context, failures, running):
     context.book = LoadTracker()
     context.subscriber, _ = _make_subscriber(context.book)
     context.subscriber.apply_instances([_make_instance(1000)], 0)
@@ -251,13 +251,13 @@
                 handle=f'old{number}',
                 instance='i1',
                 result_bytes=1_000_000,
-                expires_ms=_NEVER_MS,
+                expires_ms=_FAR_FUTURE_MS,
             ),
         )
     context.running = stage.loop.create_task(
         context.service.run(
             'stage',
-            [make_waiting(_NEVER_MS, expires_ms=_NEVER_MS).piece],
+            [make_waiting(_FAR_FUTURE_MS, expires_ms=_FAR_FUTURE_MS).piece],
         ),
     )
     stage.run(stage.wait_for(lambda: context.sent))
--- a/tests/features/steps/lapsed_entries.py
+++ b/tests/features/steps/lapsed_entries.py
@@ -62,7 +62,7 @@
     context : behave.runner.Context
         Provides `bound_ms`, the bound on the delay of store changes.
     outage : range
-        Times of the loop in ms during which calls are never answered.
+        Times of the loop in ms; calls begun within it are never answered.
     change_store : callable
         Coroutine function that changes records of the session given to it.
 
@@ -129,7 +129,7 @@
     'the entries of live instances lapse in it '
     'and are back {back_ms:d} ms after its end',
 )
-def lapse(context, back_ms):
+def expire_entries(context, back_ms):
     context.dropped = []
 
     @_EXAMPLES
--- a/tests/features/steps/named_limits.py
+++ b/tests/features/steps/named_limits.py
@@ -23,7 +23,7 @@
 from ragworthollow.utils import get_boottime_ms, get_monotonic_ms
 from tests.fixtures.staged import NAMES, send_staged
 
-_LIMIT = 'Server-Limit'
+_LIMIT_HEADER = 'Server-Limit'
 _WINDOW_S = 4
 # The platform allows a multiple of the limit plus a fixed number of requests
 # in any window.
@@ -55,7 +55,7 @@
 @given('{name:w} names a limit of {limit_per_s:g} requests a second')
 def advertise_limit(context, name, limit_per_s):
     upstream = context.gateway_stage.upstreams[name]
-    upstream.notices = {_LIMIT: f'{limit_per_s:g}'}
+    upstream.notices = {_LIMIT_HEADER: f'{limit_per_s:g}'}
 
 
 @when('{count:d} callers post to {path:S} at all gateways together')
@@ -70,7 +70,7 @@
             ),
         )
 
-    context.arrived = {
+    context.arrivals_before = {
         name: len(upstream.arrivals)
         for name, upstream in stage.upstreams.items()
     }
@@ -80,7 +80,7 @@
 @then('{name:w} has got no more since then than a limit of {limit:g} allows')
 def check_allowed(context, name, limit):
     arrivals = context.gateway_stage.upstreams[name].arrivals
-    arrived = len(arrivals) - context.arrived[name]
+    arrived = len(arrivals) - context.arrivals_before[name]
     assert arrived <= compute_max_requests(limit), arrived
 
 
@@ -97,7 +97,7 @@
 
 @given('{name:w} answers with a limit of {text}')
 def respond_with_limit(context, name, text):
-    context.gateway_stage.upstreams[name].notices = {_LIMIT: text}
+    context.gateway_stage.upstreams[name].notices = {_LIMIT_HEADER: text}
 
 
 @when('{name:w} names no limit any more')
@@ -118,7 +118,7 @@
 @when('{count:d} callers post stage work at all gateways together')
 def send_stage_work(context, count):
     stage = context.gateway_stage
-    context.arrived = {
+    context.arrivals_before = {
         name: len(upstream.arrivals)
         for name, upstream in stage.upstreams.items()
     }
@@ -138,7 +138,7 @@
 
 
 @then('the limit of {name:w} is {limit}, and it is logged as {event:w}')
-def check_read(context, name, limit, event):
+def check_limit_read(context, name, limit, event):
     gateway = context.gateway_stage.get_context()
     advertised = gateway.throttle.advertised_limits.find(
         f'{name}@0', get_boottime_ms()
@@ -158,7 +158,7 @@
 def _simulate(
     gateways: int,
     limit_per_s: float,
-    wording: str,
+    description: str,
     policy_name: str = 'ranked',
     demand: float = _DEMAND_RATIO,
 ) -> list:
@@ -173,7 +173,7 @@
         is_uneven=True,
     )
     policy = {**POLICIES, **WRONG_VARIANTS}[policy_name]
-    pattern = PATTERNS[_PATTERNS[wording]]
+    pattern = PATTERNS[_PATTERNS[description]]
     return [play(fleet, pattern, policy, limits, seed) for seed in _SEEDS]
 
 
@@ -194,9 +194,9 @@
     context.limit = limit
     context.results = [
         result
-        for wording in _PATTERNS
+        for description in _PATTERNS
         for result in _simulate(
-            gateways, limit, wording, variant, _OVERLOAD_RATIO
+            gateways, limit, description, variant, _OVERLOAD_RATIO
         )
     ]
 
--- a/tests/features/steps/store_bounds.py
+++ b/tests/features/steps/store_bounds.py
@@ -31,7 +31,7 @@
 
 
 @given('polls that are answered in {answer_ms:d} ms and one of which is lost')
-def lose_one(context, answer_ms):
+def lose_one_call(context, answer_ms):
     context.answer_ms = answer_ms
     # Any span shorter than the timeout contains the start of one call at most.
     context.max_outage_ms = global_settings.STORE_TIMEOUT_MS
@@ -96,7 +96,7 @@
 async def _measure_with_lost_call_ms(
     case, changed_ms: int, lost_from_ms: int
 ) -> float:
-    """Return the delay in ms until a change was read, with one call lost."""
+    """Return the delay in ms until a change was read; one call may be lost."""
     session = StoreSession(case.bytes_per_s)
     # Any span shorter than the timeout contains the start of one call at most.
     session.lost_ms = range(
--- a/tests/features/steps/warm_up.py
+++ b/tests/features/steps/warm_up.py
@@ -25,7 +25,7 @@
 _INSTANCES = 8
 _REQUESTS_PER_S = 160
 _SEEDS = range(3)
-_COLD_MS = 60_000
+_WARM_UP_MS = 60_000
 _IMMEDIATE_S = 3
 _EXAMPLES = settings(max_examples=500, deadline=None, derandomize=True)
 
@@ -45,33 +45,33 @@
 
 @when('{gateways:d} gateways send to a pool in which {what} warms up')
 def send_to_some(context, gateways, what):
-    context.most = _simulate(gateways, what, 'ranked')
+    context.max_requests = _simulate(gateways, what, 'ranked')
 
 
 @when(
     '{gateways:d} gateways send to a pool that warms up, and there are {what}',
 )
 def send_partitioned(context, gateways, what):
-    context.most = _simulate(gateways, what, 'ranked')
+    context.max_requests = _simulate(gateways, what, 'ranked')
 
 
 @when('{gateways:d} gateways send {variant} to a pool that warms up')
 def send_with_wrong_policy(context, gateways, variant):
-    context.most = [
-        most
+    context.max_requests = [
+        max_requests
         for pattern in ('the whole pool', 'all gateways new')
-        for most in _simulate(gateways, pattern, variant)
+        for max_requests in _simulate(gateways, pattern, variant)
     ]
 
 
 @then('no instance gets more than its burst in any second')
 def check_burst(context):
-    assert max(context.most) <= _LIMITS.burst, context.most
+    assert max(context.max_requests) <= _LIMITS.burst, context.max_requests
 
 
 @then('some instance gets more than its burst')
 def check_burst_exceeded(context):
-    assert max(context.most) > _LIMITS.burst, context.most
+    assert max(context.max_requests) > _LIMITS.burst, context.max_requests
 
 
 @then(
@@ -92,7 +92,7 @@
             burst_slack=slack,
         )
         quota = derive_quota(limits, gateways)
-        # At least one request must be allowed, also where the burst is 1.
+        # A quota is at least one request, even if half of the burst is less.
         max_requests = max(1, limits.burst // 2)
         assert quota.senders * quota.requests <= max_requests, (limits, quota)
         assert quota.senders <= gateways
@@ -176,31 +176,31 @@
 
 
 @given('instances that bear 2 requests a second while they warm up')
-def configure(context):
+def configure_warm_up(context):
     stage = context.gateway_stage
     stage.run(_configure(stage))
 
 
 @given('u1 and u2 warm up for 60 seconds, and bear 2 requests a second')
 def warm_up_both(context):
-    configure(context)
+    configure_warm_up(context)
     stage = context.gateway_stage
     for name in ('u1', 'u2'):
-        stage.run(_report_warm_up(stage, name, _COLD_MS))
+        stage.run(_report_warm_up(stage, name, _WARM_UP_MS))
 
 
 @given('u1 warms up for 60 seconds, and bears 2 requests a second')
 def warm_up_one(context):
-    configure(context)
+    configure_warm_up(context)
     stage = context.gateway_stage
-    stage.run(_report_warm_up(stage, 'u1', _COLD_MS))
+    stage.run(_report_warm_up(stage, 'u1', _WARM_UP_MS))
 
 
 @given('u1 and u2 have become cold, which only their answers say')
 def respond_as_cold(context):
     for name in ('u1', 'u2'):
         context.gateway_stage.upstreams[name].notices = {
-            'X-Ragworthollow-Cold-Ms': str(_COLD_MS),
+            'X-Ragworthollow-Cold-Ms': str(_WARM_UP_MS),
         }
 
 
