--- a/tests/__init__.py
+++ b/tests/__init__.py
@@ -1,1 +1,1 @@
-"""Tests of the whole system and of its decisions."""
+"""End-to-end and unit tests of the serving system."""
--- a/tests/run.py
+++ b/tests/run.py
@@ -1,7 +1,7 @@
 """
-Run every check and test, and end with one line of counts.
+Run all checks and tests, and print a summary line at the end.
 
-Known failures are listed in KNOWN-RED.txt; they are printed and passed over.
+Failures listed in KNOWN-RED.txt are printed but do not fail the run.
 """
 
 import json
@@ -14,8 +14,8 @@
 _BIN = Path(sys.executable).parent
 _KNOWN_RED = _ROOT / 'KNOWN-RED.txt'
 _CODE = ('packages', 'tests', 'measure')
-# Enough for the last frames and the books of twenty requests.
-_MESSAGE_LENGTH = 8_000
+# Fits the last stack frames and the records of twenty requests.
+_MAX_MESSAGE_CHARS = 8_000
 _CHECKS = (
     ('ruff', 'format', '--check', '--quiet', *_CODE),
     ('ruff', 'check', '--quiet', *_CODE),
@@ -26,20 +26,24 @@
 
 
 def run_check(command: tuple[str, ...]) -> bool:
-    done = subprocess.run(
+    completed = subprocess.run(
         [str(_BIN / command[0]), *command[1:]],
         cwd=_ROOT,
         check=False,
     )
-    print('passed' if done.returncode == 0 else 'FAILED', *command, flush=True)
-    return done.returncode == 0
+    print(
+        'passed' if completed.returncode == 0 else 'FAILED',
+        *command,
+        flush=True,
+    )
+    return completed.returncode == 0
 
 
 def run_features() -> dict[str, bool]:
-    """Run behave and return what became of each scenario."""
+    """Run behave and return whether each scenario passed."""
     with tempfile.TemporaryDirectory() as folder:
         report = Path(folder) / 'report.json'
-        done = subprocess.run(
+        completed = subprocess.run(
             [
                 str(_BIN / 'behave'),
                 *sys.argv[1:],
@@ -52,7 +56,7 @@
             check=False,
         )
         features = json.loads(report.read_text() or '[]')
-    found = {
+    outcomes = {
         f'{feature["name"]}: {scenario["name"]} ({scenario["location"]})': (
             scenario.get('status') == 'passed'
         )
@@ -61,18 +65,19 @@
         if scenario['type'] == 'scenario'
     }
     _print_failures(features)
-    if done.returncode and all(found.values()):
-        # A hook or a fixture failed outside every scenario.
-        found['behave itself'] = False
-    return found
+    if completed.returncode and all(outcomes.values()):
+        # A hook or a fixture failed outside of all scenarios.
+        outcomes['behave itself'] = False
+    return outcomes
 
 
 def _print_failures(features: list[dict]) -> None:
     """
-    Say at the end why scenarios failed.
+    Print the error messages of failed scenarios after all other output.
 
-    What the processes of a fleet write is long, and a cut output keeps its
-    end: without this, a failure that shows once has no trace.
+    The processes of a fleet write long output, of which a truncated log
+    keeps only the end. Printed here, the cause of an intermittent failure
+    is not lost.
     """
     for feature in features:
         for scenario in feature.get('elements', ()):
@@ -81,7 +86,7 @@
                 if outcome.get('status') in {'failed', 'error'}:
                     message = '\n'.join(outcome.get('error_message', ()))
                     print(f'{scenario["location"]} {step["name"]}')
-                    print(message[-_MESSAGE_LENGTH:], flush=True)
+                    print(message[-_MAX_MESSAGE_CHARS:], flush=True)
 
 
 def read_known_red() -> list[str]:
@@ -96,10 +101,12 @@
     outcomes.update(run_features())
     known_red = read_known_red()
     failed = [name for name, is_passed in outcomes.items() if not is_passed]
-    red = [name for name in failed if any(known in name for known in known_red)]
-    for name in red:
+    known_failures = [
+        name for name in failed if any(known in name for known in known_red)
+    ]
+    for name in known_failures:
         print(f'KNOWN RED: {name}')
-    unexpected = [name for name in failed if name not in red]
+    unexpected = [name for name in failed if name not in known_failures]
     for name in unexpected:
         print(f'FAILED: {name}')
     passed = len(outcomes) - len(failed)
--- a/tests/standins/__init__.py
+++ b/tests/standins/__init__.py
@@ -1,1 +1,1 @@
-"""Small stand-ins for the platform and the upstreams; scaffolding only."""
+"""Minimal stand-ins for the platform and the upstreams, for tests only."""
--- a/tests/standins/__main__.py
+++ b/tests/standins/__main__.py
@@ -1,4 +1,4 @@
-"""Run the stand-ins that a file lists, all in this process."""
+"""Run the stand-ins listed in a file, all in one process."""
 
 import asyncio
 import sys
@@ -24,15 +24,15 @@
 
 
 async def serve(specification: list[dict]) -> None:
-    for one in specification:
-        standin = _KINDS[one['kind']](**one.get('options', {}))
+    for entry in specification:
+        standin = _KINDS[entry['kind']](**entry.get('options', {}))
         runner = web.AppRunner(
             standin.make_application(),
             access_log=None,
             handler_cancellation=True,
         )
         await runner.setup()
-        await web.TCPSite(runner, '127.0.0.1', one['port']).start()
+        await web.TCPSite(runner, '127.0.0.1', entry['port']).start()
     print('serving', flush=True)
     await asyncio.Event().wait()
 
--- a/tests/standins/engine.py
+++ b/tests/standins/engine.py
@@ -9,15 +9,15 @@
 from tests.standins.faults import Faults, drop
 from tests.standins.pool import find_subject
 
-_CACHED_PREFIXES = 8
+_MAX_CACHED_PREFIXES = 8
 
 
 class EngineStandin:
     """
-    Batch continuously, cache prefixes, resume, cancel and take orders.
+    Batch continuously, cache prefixes, resume, cancel and execute orders.
 
-    Every token names the subject of its prompt, so that a test sees a
-    crossed or patched answer.
+    Every token names the subject of its prompt, so that tests detect responses
+    that were swapped between requests or joined from several.
     """
 
     def __init__(
@@ -40,14 +40,14 @@
         self._weights_url = weights_url
         self._load_lag_ms = load_lag_ms
         self._models: dict[str, str] = dict.fromkeys(models, '')
-        self._slots = asyncio.PriorityQueue()
-        self._free = batch
+        self._waiting = asyncio.PriorityQueue()
+        self._free_slots = batch
         self._batch = batch
         self._prefixes: OrderedDict[str, None] = OrderedDict()
         self._fence = 0
         self._orders: list[dict] = []
         self._cache_events: list[dict] = []
-        self._numbers = 0
+        self._last_number = 0
         self._counts = {'done': 0, 'cancelled': 0, 'hits': 0, 'misses': 0}
         self._load = {'running': 0, 'waiting': 0}
 
@@ -56,7 +56,7 @@
         self.faults.add_to(application)
         router = application.router
         router.add_post('/v1/completions', self._complete)
-        router.add_post('/v1/orders', self._order)
+        router.add_post('/v1/orders', self._handle_order)
         router.add_get('/v1/load', self._get_load)
         router.add_get('/v1/cache_events', self._get_cache_events)
         router.add_get('/v1/models', self._get_models)
@@ -71,8 +71,8 @@
             return web.Response(status=500, text='told to fail')
         if body['model'] not in self._models:
             return web.Response(status=409, text='model is not loaded')
-        await self._take_slot(body.get('priority', 1))
-        self._note_load()
+        await self._acquire_slot(body.get('priority', 1))
+        self._schedule_load_update()
         response = web.StreamResponse(
             headers={'Content-Type': 'text/event-stream'},
         )
@@ -84,8 +84,8 @@
             self._counts['cancelled'] += 1
             raise
         finally:
-            self._give_slot()
-            self._note_load()
+            self._release_slot()
+            self._schedule_load_update()
         return response
 
     async def _generate(
@@ -131,40 +131,40 @@
         self._counts['misses'] += 1
         self._prefixes[prefix] = None
         self._cache_events.append({'stored': prefix})
-        if len(self._prefixes) > _CACHED_PREFIXES:
+        if len(self._prefixes) > _MAX_CACHED_PREFIXES:
             evicted, _ = self._prefixes.popitem(last=False)
             self._cache_events.append({'removed': evicted})
         await asyncio.sleep(self._prefill_ms / 1000)
 
-    async def _take_slot(self, priority: float) -> None:
-        if self._free:
-            self._free -= 1
+    async def _acquire_slot(self, priority: float) -> None:
+        if self._free_slots:
+            self._free_slots -= 1
             return
-        self._numbers += 1
-        turn = asyncio.get_running_loop().create_future()
-        self._slots.put_nowait((-priority, self._numbers, turn))
-        await turn
-
-    def _give_slot(self) -> None:
-        while not self._slots.empty():
-            turn = self._slots.get_nowait()[-1]
-            if not turn.done():
-                turn.set_result(None)
+        self._last_number += 1
+        start_signal = asyncio.get_running_loop().create_future()
+        self._waiting.put_nowait((-priority, self._last_number, start_signal))
+        await start_signal
+
+    def _release_slot(self) -> None:
+        while not self._waiting.empty():
+            start_signal = self._waiting.get_nowait()[-1]
+            if not start_signal.done():
+                start_signal.set_result(None)
                 return
-        self._free += 1
+        self._free_slots += 1
 
-    def _note_load(self) -> None:
-        now = {
-            'running': self._batch - self._free,
-            'waiting': self._slots.qsize(),
+    def _schedule_load_update(self) -> None:
+        current_load = {
+            'running': self._batch - self._free_slots,
+            'waiting': self._waiting.qsize(),
         }
         asyncio.get_running_loop().call_later(
             self._load_lag_ms / 1000,
             self._load.update,
-            now,
+            current_load,
         )
 
-    async def _order(self, request: web.Request) -> web.Response:
+    async def _handle_order(self, request: web.Request) -> web.Response:
         order = msgspec.json.decode(await request.read())
         if self.faults.has('down'):
             return drop(request)
@@ -195,13 +195,13 @@
         return web.json_response(self._load)
 
     async def _get_cache_events(self, _request: web.Request) -> web.Response:
-        # Late and with gaps: the newest and every fifth are missing.
-        shown = [
+        # Events are late and incomplete: the newest and every fifth are missing.
+        visible_events = [
             event
             for number, event in enumerate(self._cache_events[:-1])
             if number % 5
         ]
-        return web.json_response(shown)
+        return web.json_response(visible_events)
 
     async def _get_models(self, _request: web.Request) -> web.Response:
         return web.json_response(
--- a/tests/standins/instances.py
+++ b/tests/standins/instances.py
@@ -1,4 +1,4 @@
-"""Stand in for the platform's lagging list of instances."""
+"""Stand in for the platform's list of instances, which lags behind."""
 
 import asyncio
 
@@ -9,22 +9,22 @@
 
 
 class InstancesStandin:
-    """Show changes only after a lag."""
+    """Serve a list of instances whose changes become visible after a lag."""
 
     def __init__(self, *, lag_ms: float = 0) -> None:
         self.faults = Faults()
         self._lag_ms = lag_ms
-        self._shown = b'{"revision":0,"instances":[]}'
+        self._visible = b'{"revision":0,"instances":[]}'
         self._revision = 0
 
     def make_application(self) -> web.Application:
         application = web.Application()
         self.faults.add_to(application)
-        application.router.add_get('/instances', self._get)
-        application.router.add_put('/instances', self._put)
+        application.router.add_get('/instances', self._get_instances)
+        application.router.add_put('/instances', self._put_instances)
         return application
 
-    async def _get(self, request: web.Request) -> web.Response:
+    async def _get_instances(self, request: web.Request) -> web.Response:
         if self.faults.has('down'):
             return drop(request)
         await self.faults.delay()
@@ -32,19 +32,19 @@
         if request.headers.get('If-None-Match') == tag:
             return web.Response(status=304)
         return web.Response(
-            body=self._shown,
+            body=self._visible,
             content_type='application/json',
             headers={'ETag': tag},
         )
 
-    async def _put(self, request: web.Request) -> web.Response:
+    async def _put_instances(self, request: web.Request) -> web.Response:
         instances = msgspec.json.decode(await request.read())
         delay = self._lag_ms / 1000 if self._revision else 0
-        asyncio.get_running_loop().call_later(delay, self._show, instances)
+        asyncio.get_running_loop().call_later(delay, self._publish, instances)
         return web.Response()
 
-    def _show(self, instances: list) -> None:
+    def _publish(self, instances: list) -> None:
         self._revision += 1
-        self._shown = msgspec.json.encode(
+        self._visible = msgspec.json.encode(
             {'revision': self._revision, 'instances': instances},
         )
--- a/tests/standins/key_value.py
+++ b/tests/standins/key_value.py
@@ -10,9 +10,9 @@
 from tests.standins.faults import Faults, drop
 from tests.standins.thin_link import send_slowly
 
-_PAGE = 500
-_TXN = '/api/kv-txn'
-_TIMELINE = 'Store-Era'
+_PAGE_SIZE = 500
+_TXN_PATH = '/api/kv-txn'
+_TIMELINE_HEADER = 'Store-Era'
 
 
 class Entry:
@@ -34,35 +34,35 @@
 
 class KeyValueStandin:
     """
-    Keep keys, leases and watches in memory, and count every call.
-
-    Faults beside the common ones: `mute` takes calls and never answers,
-    `refuse` answers 503 without doing anything, `deaf` leaves watches
-    waiting while changes are made, `down_after_manifest` fails for good
-    after a configuration of the project's own operators was written,
-    `bytes_per_s` is what the link to a caller carries, and `stall` falls
-    silent in the middle of an answer.
+    Store keys, leases and watches in memory, and count calls by path.
+
+    Faults in addition to the common ones: `mute` accepts calls and never
+    responds, `refuse` responds with 503 without executing the call, `deaf`
+    hides changes from watches, `down_after_manifest` fails permanently after
+    a configuration of the project's own operators was written, `bytes_per_s`
+    limits the bandwidth of each response, and `stall` stops in the middle of
+    a response.
     """
 
     def __init__(self) -> None:
         self.faults = Faults()
         self.revision = 1
-        self.oldest = 0
+        self.compacted_revision = 0
         self.entries: dict[str, Entry] = {}
         self.leases: dict[int, list[float]] = {}
         self.history: list[tuple[int, dict]] = []
-        self.changed = asyncio.Condition()
+        self.change_condition = asyncio.Condition()
         self.counts: dict[str, int] = {}
         self.sent_bytes = 0
         self.timeline = 0
 
     def save(self) -> tuple[int, dict[str, Entry], set[int]]:
-        """Make a copy, to be restored later."""
+        """Return a backup for `restore`."""
         return self.revision, dict(self.entries), set(self.leases)
 
-    def restore(self, saved: tuple[int, dict[str, Entry], set[int]]) -> None:
-        """Come back from a copy: revisions are given out again."""
-        self.revision, entries, leases = saved
+    def restore(self, backup: tuple[int, dict[str, Entry], set[int]]) -> None:
+        """Restore a backup; revisions after it are assigned again."""
+        self.revision, entries, leases = backup
         self.entries = dict(entries)
         self.leases = {
             lease: known
@@ -70,32 +70,32 @@
             if lease in leases
         }
         self.history.clear()
-        self.oldest = self.revision
+        self.compacted_revision = self.revision
         self.timeline += 1
 
-    def put_bytes(self, key: str, found: bytes) -> None:
-        """Keep a value of somebody else."""
+    def put_bytes(self, key: str, value: bytes) -> None:
+        """Store a raw value, as another application may write it."""
         self.revision += 1
-        self._put(key, base64.b64encode(found).decode(), 0)
+        self._put(key, base64.b64encode(value).decode(), 0)
 
     def make_application(self) -> web.Application:
         application = web.Application(client_max_size=16_000_000)
         self.faults.add_to(application)
         router = application.router
-        router.add_get('/counts', self._show_counts)
+        router.add_get('/counts', self._get_counts)
         router.add_post('/compact', self._compact)
         router.add_post('/operator', self._write_as_operator)
         router.add_get('/api/kv-key', self._wrap(self._read))
         router.add_get('/api/kv-range', self._wrap(self._range))
         router.add_get('/api/kv-watch', self._wrap(self._watch))
-        router.add_post(_TXN, self._wrap(self._txn))
+        router.add_post(_TXN_PATH, self._wrap(self._txn))
         router.add_post('/api/kv-lease', self._wrap(self._grant))
         router.add_post('/api/kv-keep/{lease}', self._wrap(self._renew))
-        router.add_delete('/api/kv-lease-end/{lease}', self._wrap(self._end))
-        application.cleanup_ctx.append(self._expire)
+        router.add_delete('/api/kv-lease-end/{lease}', self._wrap(self._revoke))
+        application.cleanup_ctx.append(self._run_lease_expiry)
         return application
 
-    def _wrap(self, answer):
+    def _wrap(self, handler):
         async def serve(request: web.Request) -> web.Response:
             path = request.path
             self.counts[path] = self.counts.get(path, 0) + 1
@@ -106,9 +106,9 @@
             if self.faults.has('refuse'):
                 return web.Response(status=503, headers=self._get_headers())
             await self.faults.delay()
-            response = await answer(request)
+            response = await handler(request)
             response.headers.update(self._get_headers())
-            if path == _TXN and self.faults.has('lose_answer'):
+            if path == _TXN_PATH and self.faults.has('lose_answer'):
                 return drop(request)
             return await self._send(request, response)
 
@@ -123,27 +123,27 @@
         if self.faults.has('stall'):
             return await send_slowly(request, response, 0)
         if rate:
-            return await send_slowly(request, response, rate, self._note_sent)
-        self._note_sent(len(response.body or b''))
+            return await send_slowly(request, response, rate, self._record_sent)
+        self._record_sent(len(response.body or b''))
         return response
 
     def _get_headers(self) -> dict[str, str]:
-        return {_TIMELINE: str(self.timeline)}
+        return {_TIMELINE_HEADER: str(self.timeline)}
 
-    def _note_sent(self, size: int) -> None:
+    def _record_sent(self, size: int) -> None:
         self.sent_bytes += size
 
-    async def _show_counts(self, _request: web.Request) -> web.Response:
+    async def _get_counts(self, _request: web.Request) -> web.Response:
         return web.json_response(self.counts)
 
     async def _compact(self, _request: web.Request) -> web.Response:
-        self.oldest = self.revision
+        self.compacted_revision = self.revision
         self.history.clear()
-        await self._tell()
+        await self._notify_watchers()
         return web.Response()
 
     async def _write_as_operator(self, request: web.Request) -> web.Response:
-        """Write or, without a value, remove keys that clients may not."""
+        """Write keys that clients may not; a null value removes a key."""
         body = msgspec.json.decode(await request.read())
         self.revision += 1
         for key, text in body.items():
@@ -151,7 +151,7 @@
                 self._remove(key)
             else:
                 self._put(key, base64.b64encode(text.encode()).decode(), 0)
-        await self._tell()
+        await self._notify_watchers()
         return web.json_response({'rev': self.revision})
 
     async def _read(self, request: web.Request) -> web.Response:
@@ -171,7 +171,7 @@
             for key in self.entries
             if key.startswith(prefix) and key > after
         )
-        page = keys[:_PAGE]
+        page = keys[:_PAGE_SIZE]
         return web.json_response(
             {
                 'items': [self.entries[key].render(key) for key in page],
@@ -183,19 +183,19 @@
     async def _watch(self, request: web.Request) -> web.Response:
         prefix = request.query['path_prefix']
         after = int(request.query['after'])
-        end = time.monotonic() + int(request.query['wait_ms']) / 1000
+        end_s = time.monotonic() + int(request.query['wait_ms']) / 1000
         while True:
             if self.faults.active.get('down'):
                 return drop(request)
-            if after < self.oldest or after > self.revision:
+            if after < self.compacted_revision or after > self.revision:
                 return web.Response(status=410)
-            found = self._find_events(prefix, after)
-            left = end - time.monotonic()
-            if found or left <= 0:
+            events = self._find_events(prefix, after)
+            remaining_s = end_s - time.monotonic()
+            if events or remaining_s <= 0:
                 return web.json_response(
-                    {'events': found, 'as_of': self.revision},
+                    {'events': events, 'as_of': self.revision},
                 )
-            await self._wait(min(left, 0.1))
+            await self._wait_for_change(min(remaining_s, 0.1))
 
     def _find_events(self, prefix: str, after: int) -> list[dict]:
         if self.faults.active.get('deaf'):
@@ -206,16 +206,16 @@
             if revision > after and event['key'].startswith(prefix)
         ]
 
-    async def _wait(self, seconds: float) -> None:
-        async with self.changed:
+    async def _wait_for_change(self, seconds: float) -> None:
+        async with self.change_condition:
             try:
-                await asyncio.wait_for(self.changed.wait(), seconds)
+                await asyncio.wait_for(self.change_condition.wait(), seconds)
             except TimeoutError:
                 return
 
-    async def _tell(self) -> None:
-        async with self.changed:
-            self.changed.notify_all()
+    async def _notify_watchers(self) -> None:
+        async with self.change_condition:
+            self.change_condition.notify_all()
 
     async def _txn(self, request: web.Request) -> web.Response:
         body = msgspec.json.decode(await request.read())
@@ -232,13 +232,13 @@
             self._put(write['key'], write['value'], write['lease'])
         for key in body['remove']:
             self._remove(key)
-        if self._has_manifest(body):
+        if self._triggers_outage(body):
             self.faults.active = {'down': 1}
-        await self._tell()
+        await self._notify_watchers()
         return web.json_response({'rev': self.revision})
 
-    def _has_manifest(self, body: dict) -> bool:
-        """Tell whether the store is to fail after this very write."""
+    def _triggers_outage(self, body: dict) -> bool:
+        """Tell whether the store must fail after this transaction."""
         if not self.faults.active.get('down_after_manifest'):
             return False
         return any(
@@ -269,37 +269,37 @@
         known[1] = time.monotonic() + known[0] / 1000
         return web.json_response({'ttl_ms': known[0]})
 
-    async def _end(self, request: web.Request) -> web.Response:
+    async def _revoke(self, request: web.Request) -> web.Response:
         lease = int(request.match_info['lease'])
         if lease not in self.leases:
             return web.Response(status=404)
-        await self._end_lease(lease)
+        await self._revoke_lease(lease)
         return web.json_response({})
 
-    async def _end_lease(self, lease: int) -> None:
+    async def _revoke_lease(self, lease: int) -> None:
         self.leases.pop(lease, None)
-        dead = [
+        orphaned_keys = [
             key for key, entry in self.entries.items() if entry.lease == lease
         ]
-        if dead:
+        if orphaned_keys:
             self.revision += 1
-        for key in dead:
+        for key in orphaned_keys:
             self._remove(key)
-        await self._tell()
+        await self._notify_watchers()
 
-    async def _expire(self, _application: web.Application):
+    async def _run_lease_expiry(self, _application: web.Application):
         async def loop() -> None:
             while True:
                 await asyncio.sleep(0.05)
-                # Leases don't lapse while the store itself is away: it
-                # prolongs them when it comes back.
+                # Leases don't expire while the store itself is unavailable:
+                # it extends them when it is available again.
                 now = time.monotonic()
                 if self.faults.active.get('down'):
                     for known in self.leases.values():
                         known[1] = max(known[1], now + known[0] / 1000)
                 for lease, known in list(self.leases.items()):
                     if known[1] < now:
-                        await self._end_lease(lease)
+                        await self._revoke_lease(lease)
 
         task = asyncio.ensure_future(loop())
         yield
--- a/tests/standins/pool.py
+++ b/tests/standins/pool.py
@@ -10,9 +10,10 @@
 
 class PoolStandin:
     """
-    Answer each call with the subject it was asked about.
+    Respond to each call with the subject of its input.
 
-    A plain service records every effect, so that a test can count them.
+    Calls that name an operation are recorded as effects, so that tests can
+    count them.
     """
 
     def __init__(self, *, name: str, service_ms: float) -> None:
@@ -24,12 +25,12 @@
     def make_application(self) -> web.Application:
         application = web.Application()
         self.faults.add_to(application)
-        application.router.add_get('/effects', self._show_effects)
+        application.router.add_get('/effects', self._get_effects)
         for path in ('encode', 'retrieve', 'rerank', 'calls'):
             application.router.add_post(f'/v1/{path}', self._serve)
         return application
 
-    async def _show_effects(self, _request: web.Request) -> web.Response:
+    async def _get_effects(self, _request: web.Request) -> web.Response:
         return web.json_response(self._effects)
 
     async def _serve(self, request: web.Request) -> web.Response:
@@ -56,18 +57,18 @@
         request_id = body['request_id']
         if self.faults.has('cross'):
             request_id = f'other-{request_id}'
-        answer = {
+        response = {
             'request_id': request_id,
             'output': {'subject': subject, 'by': self._name},
         }
-        encoded = msgspec.json.encode(answer)
+        encoded = msgspec.json.encode(response)
         if self.faults.has('truncate'):
             encoded = encoded[: len(encoded) // 2]
         return web.Response(body=encoded, content_type='application/json')
 
 
 def find_subject(stage_input: dict) -> str:
-    """Return the subject of a stage's own input or of the one before."""
+    """Return the subject of a stage's input or else of the previous stage."""
     for part in (stage_input.get('input'), stage_input.get('previous')):
         if isinstance(part, dict) and 'subject' in part:
             return part['subject']
--- a/tests/standins/upstream.py
+++ b/tests/standins/upstream.py
@@ -1,4 +1,4 @@
-"""Stand in for one upstream instance of the platform, faults included."""
+"""Stand in for one upstream instance, with faults chosen by path."""
 
 import asyncio
 import socket
@@ -7,10 +7,10 @@
 
 import msgspec
 
-_ID = 'x-ragworthollow-request-id'
-_LAST_EVENT = 'last-event-id'
-_EVENTS = 5
-# An instance that is asked for a piece of this key ends.
+_REQUEST_ID_HEADER = 'x-ragworthollow-request-id'
+_LAST_EVENT_ID_HEADER = 'last-event-id'
+_EVENT_COUNT = 5
+# An instance crashes when it is asked to run a piece with this key.
 CRASHING_KEY = 'crash'
 
 
@@ -18,12 +18,12 @@
     """
     Serve plain requests, streams and pieces over raw connections.
 
-    The last segment of a path says how a request is treated, so that one
-    instance can misbehave in every way side by side.  `runs` holds what it
-    has begun to work on, `arrivals` all that reached it.
+    The last segment of the path selects how a request is handled, so that one
+    instance can show several faults at the same time. `runs` holds requests
+    whose execution has started, `arrivals` all received requests.
     """
 
-    def __init__(self, name: str, *, stop_after: int = _EVENTS) -> None:
+    def __init__(self, name: str, *, stop_after: int = _EVENT_COUNT) -> None:
         self.name = name
         self.stop_after = stop_after
         self.runs: list[SimpleNamespace] = []
@@ -36,15 +36,15 @@
         self.failing_pieces = 0
         self.busy = 0
         self.most_busy = 0
-        # Holds back the rest of streams that pause.
+        # Paused streams and held responses continue once this is set.
         self.may_go_on = asyncio.Event()
         self._server: asyncio.Server | None = None
         self.address = ''
         self.has_crashed = False
-        # Headers of all answers.
+        # Headers added to the responses.
         self.notices: dict[str, str] = {}
         self.is_refusing = False
-        self._open: set[asyncio.StreamWriter] = set()
+        self._open_writers: set[asyncio.StreamWriter] = set()
 
     async def start(self, port: int) -> None:
         self._server = await asyncio.start_server(
@@ -56,10 +56,10 @@
         self._server.close()
 
     def crash(self) -> None:
-        """End as a process does that is killed: nothing listens any more."""
+        """Stop listening and abort all connections, as a killed process does."""
         self.has_crashed = True
         self._server.close()
-        for writer in tuple(self._open):
+        for writer in tuple(self._open_writers):
             writer.transport.abort()
 
     def count_runs(self, request_id: str) -> int:
@@ -67,36 +67,38 @@
 
     async def _serve(self, reader, writer) -> None:
         self.connections += 1
-        self._open.add(writer)
+        self._open_writers.add(writer)
         try:
-            while await self._serve_one(reader, writer):
+            while await self._serve_request(reader, writer):
                 await writer.drain()
         except (ConnectionError, asyncio.IncompleteReadError):
             return
         finally:
-            self._open.discard(writer)
+            self._open_writers.discard(writer)
             writer.close()
 
-    async def _serve_one(self, reader, writer) -> bool:
+    async def _serve_request(self, reader, writer) -> bool:
         request = await _read_request(reader)
         self.arrivals.append(request)
-        expected = request.headers.get('x-ragworthollow-expect-instance')
-        if expected not in {None, self.name}:
-            _write(writer, '421 Misdirected Request', {}, b'')
+        expected_instance = request.headers.get(
+            'x-ragworthollow-expect-instance'
+        )
+        if expected_instance not in {None, self.name}:
+            _write_response(writer, '421 Misdirected Request', {}, b'')
             return True
         if request.path == '/api/stage-run':
-            return await self._make_pieces(request, writer)
+            return await self._run_pieces(request, writer)
         if request.path == '/api/stage-free':
             self.freed += msgspec.json.decode(request.body)['handles']
-            _write(writer, '200 OK', {}, b'')
+            _write_response(writer, '200 OK', {}, b'')
             return True
         if self.is_refusing:
             return await _refuse(self, request, reader, writer)
-        behave = _BEHAVIOURS[request.path.partition('?')[0].split('/')[-1]]
-        return await behave(self, request, reader, writer)
+        handle = _BEHAVIOURS[request.path.partition('?')[0].split('/')[-1]]
+        return await handle(self, request, reader, writer)
 
-    def note_run(self, request) -> dict[str, str]:
-        """Note that work has begun, and return the marks of its answer."""
+    def record_run(self, request) -> dict[str, str]:
+        """Record that execution has started; return the response headers."""
         self.runs.append(request)
         return {
             'X-Ragworthollow-Request-Id': request.request_id,
@@ -105,7 +107,7 @@
             **self.notices,
         }
 
-    async def _make_pieces(self, request, writer) -> bool:
+    async def _run_pieces(self, request, writer) -> bool:
         items = msgspec.json.decode(request.body)['items']
         self.calls.append(items)
         if any(item.get('key') == CRASHING_KEY for item in items):
@@ -115,11 +117,13 @@
         self.most_busy = max(self.most_busy, self.busy)
         await asyncio.sleep(self.piece_ms / 1000)
         self.busy -= 1
-        body = msgspec.json.encode({'items': list(map(self._make, items))})
-        _write(writer, '200 OK', self.notices, body)
+        body = msgspec.json.encode(
+            {'items': list(map(self._make_result, items))}
+        )
+        _write_response(writer, '200 OK', self.notices, body)
         return True
 
-    def _make(self, item: dict) -> dict[str, str]:
+    def _make_result(self, item: dict) -> dict[str, str]:
         if any(handle in self.freed for handle in item.get('inputs', ())):
             return {'reason': 'gone'}
         if item['stage'] and self.failing_pieces:
@@ -142,11 +146,11 @@
         path=path,
         headers=headers,
         body=body,
-        request_id=headers.get(_ID, ''),
+        request_id=headers.get(_REQUEST_ID_HEADER, ''),
     )
 
 
-def _write(writer, status, headers, body, *, length=None) -> None:
+def _write_response(writer, status, headers, body, *, length=None) -> None:
     lines = [f'HTTP/1.1 {status}']
     lines += [f'{name}: {text}' for name, text in headers.items()]
     lines.append(f'Content-Length: {len(body) if length is None else length}')
@@ -155,119 +159,123 @@
 
 
 def _reset(writer) -> None:
-    """End a connection with a reset rather than a regular close."""
+    """Close a connection with a TCP reset."""
     raw = writer.get_extra_info('socket')
     raw.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack('ii', 1, 0))
     writer.transport.abort()
 
 
-async def _answer(standin, request, _reader, writer):
-    _write(writer, '200 OK', standin.note_run(request), b'whole answer')
+async def _respond(standin, request, _reader, writer):
+    _write_response(
+        writer, '200 OK', standin.record_run(request), b'whole answer'
+    )
     return True
 
 
 async def _close(standin, request, _reader, _writer):
-    standin.note_run(request)
+    standin.record_run(request)
     return False
 
 
 async def _refuse(standin, _request, _reader, writer):
     headers = {'X-Ragworthollow-Not-Executed': '1', **standin.notices}
-    _write(writer, '503 Service Unavailable', headers, b'')
+    _write_response(writer, '503 Service Unavailable', headers, b'')
     return True
 
 
-async def _be_busy(standin, request, _reader, writer):
-    marks = standin.note_run(request)
-    _write(writer, '503 Service Unavailable', marks, b'ran all the same')
+async def _respond_unavailable(standin, request, _reader, writer):
+    headers = standin.record_run(request)
+    _write_response(
+        writer, '503 Service Unavailable', headers, b'ran all the same'
+    )
     return True
 
 
 async def _fail(standin, request, _reader, writer):
-    marks = standin.note_run(request)
-    _write(writer, '500 Internal Server Error', marks, b'failed')
+    headers = standin.record_run(request)
+    _write_response(writer, '500 Internal Server Error', headers, b'failed')
     return True
 
 
-async def _answer_other(standin, request, _reader, writer):
-    marks = standin.note_run(request)
-    marks['X-Ragworthollow-Request-Id'] = 'of-another-request'
-    _write(writer, '200 OK', marks, b'the answer of another')
+async def _respond_for_other_request(standin, request, _reader, writer):
+    headers = standin.record_run(request)
+    headers['X-Ragworthollow-Request-Id'] = 'of-another-request'
+    _write_response(writer, '200 OK', headers, b'the answer of another')
     return True
 
 
-async def _answer_unsigned(standin, request, _reader, writer):
-    marks = standin.note_run(request)
-    marks.pop('X-Ragworthollow-Response-Signature')
-    _write(writer, '200 OK', marks, b'not signed')
+async def _respond_unsigned(standin, request, _reader, writer):
+    headers = standin.record_run(request)
+    headers.pop('X-Ragworthollow-Response-Signature')
+    _write_response(writer, '200 OK', headers, b'not signed')
     return True
 
 
 async def _truncate(standin, request, _reader, writer):
-    marks = standin.note_run(request)
-    _write(writer, '200 OK', marks, b'half', length=8)
+    headers = standin.record_run(request)
+    _write_response(writer, '200 OK', headers, b'half', length=8)
     return False
 
 
 async def _end_unframed(standin, request, _reader, writer):
-    _write_unframed(writer, standin.note_run(request))
+    _write_unframed(writer, standin.record_run(request))
     return False
 
 
 async def _reset_unframed(standin, request, _reader, writer):
-    _write_unframed(writer, standin.note_run(request))
+    _write_unframed(writer, standin.record_run(request))
     await writer.drain()
-    # The head must be read before the reset, which discards what is not.
+    # The client must read the head first: a reset discards unread data.
     await asyncio.sleep(0.05)
     _reset(writer)
     return False
 
 
-def _write_unframed(writer, marks) -> None:
-    lines = [f'{name}: {text}' for name, text in marks.items()]
+def _write_unframed(writer, headers) -> None:
+    lines = [f'{name}: {text}' for name, text in headers.items()]
     head = '\r\n'.join(['HTTP/1.1 200 OK', *lines, '', '']).encode()
     writer.write(head + b'to the end of the connection')
 
 
-async def _answer_twice(standin, request, _reader, writer):
-    marks = standin.note_run(request)
-    _write(writer, '200 OK', marks, b'whole answer')
+async def _respond_twice(standin, request, _reader, writer):
+    headers = standin.record_run(request)
+    _write_response(writer, '200 OK', headers, b'whole answer')
     await writer.drain()
     await asyncio.sleep(0.05)
-    _write(writer, '200 OK', marks, b'whole answer')
+    _write_response(writer, '200 OK', headers, b'whole answer')
     return True
 
 
-async def _wait(standin, request, reader, writer):
-    marks = standin.note_run(request)
-    # Nothing but a close can come while a request is worked on.
+async def _wait_for_disconnect(standin, request, reader, writer):
+    headers = standin.record_run(request)
+    # While a request is in progress, the client can only disconnect.
     if await reader.read(1) == b'':
         standin.left.append(request.request_id)
         return False
-    _write(writer, '200 OK', marks, b'too late')
+    _write_response(writer, '200 OK', headers, b'too late')
     return False
 
 
-async def _hold(standin, request, _reader, writer):
-    marks = standin.note_run(request)
+async def _respond_when_allowed(standin, request, _reader, writer):
+    headers = standin.record_run(request)
     await standin.may_go_on.wait()
-    _write(writer, '200 OK', marks, b'whole answer')
+    _write_response(writer, '200 OK', headers, b'whole answer')
     return True
 
 
 async def _crash(standin, request, _reader, writer):
     _start_stream(standin, request, writer)
     await writer.drain()
-    # The head of the answer is under way when the process ends.
+    # Leaves time to deliver the response head before the process ends.
     await asyncio.sleep(0.02)
     standin.crash()
     return False
 
 
 async def _stream(standin, request, _reader, writer):
-    first = int(request.headers.get(_LAST_EVENT, '0')) + 1
+    first = int(request.headers.get(_LAST_EVENT_ID_HEADER, '0')) + 1
     _start_stream(standin, request, writer)
-    for number in range(first, _EVENTS + 1):
+    for number in range(first, _EVENT_COUNT + 1):
         _write_chunk(writer, _render_event(number))
     _write_chunk(writer, b'')
     return True
@@ -275,8 +283,8 @@
 
 async def _pause_stream(standin, request, _reader, writer):
     _start_stream(standin, request, writer)
-    for number in range(1, _EVENTS + 1):
-        if number == _EVENTS // 2:
+    for number in range(1, _EVENT_COUNT + 1):
+        if number == _EVENT_COUNT // 2:
             await standin.may_go_on.wait()
         _write_chunk(writer, _render_event(number))
     _write_chunk(writer, b'')
@@ -284,12 +292,12 @@
 
 
 async def _break_stream(standin, request, _reader, writer):
-    first = int(request.headers.get(_LAST_EVENT, '0')) + 1
+    first = int(request.headers.get(_LAST_EVENT_ID_HEADER, '0')) + 1
     _start_stream(standin, request, writer)
-    last = min(_EVENTS, first + standin.stop_after - 1)
+    last = min(_EVENT_COUNT, first + standin.stop_after - 1)
     for number in range(first, last + 1):
         _write_chunk(writer, _render_event(number))
-    if last < _EVENTS:
+    if last < _EVENT_COUNT:
         _write_chunk(writer, _render_event(last + 1)[:6])
         return False
     _write_chunk(writer, b'')
@@ -297,10 +305,10 @@
 
 
 def _start_stream(standin, request, writer) -> None:
-    marks = standin.note_run(request)
-    marks['Content-Type'] = 'text/event-stream'
-    marks['Transfer-Encoding'] = 'chunked'
-    lines = [f'{name}: {text}' for name, text in marks.items()]
+    headers = standin.record_run(request)
+    headers['Content-Type'] = 'text/event-stream'
+    headers['Transfer-Encoding'] = 'chunked'
+    lines = [f'{name}: {text}' for name, text in headers.items()]
     writer.write('\r\n'.join(['HTTP/1.1 200 OK', *lines, '', '']).encode())
 
 
@@ -313,19 +321,19 @@
 
 
 _BEHAVIOURS = {
-    'answer': _answer,
+    'answer': _respond,
     'close': _close,
     'refuse': _refuse,
-    'busy': _be_busy,
+    'busy': _respond_unavailable,
     'fail': _fail,
-    'other': _answer_other,
-    'unsigned': _answer_unsigned,
+    'other': _respond_for_other_request,
+    'unsigned': _respond_unsigned,
     'truncate': _truncate,
     'unframed': _end_unframed,
     'reset': _reset_unframed,
-    'twice': _answer_twice,
-    'wait': _wait,
-    'hold': _hold,
+    'twice': _respond_twice,
+    'wait': _wait_for_disconnect,
+    'hold': _respond_when_allowed,
     'crash': _crash,
     'stream': _stream,
     'break': _break_stream,
--- a/tests/standins/weights.py
+++ b/tests/standins/weights.py
@@ -9,7 +9,7 @@
 
 
 class WeightsStandin:
-    """Serve weights, at most so many a minute; more are refused."""
+    """Serve weights, and refuse loads beyond a limit per minute."""
 
     def __init__(self, *, loads_per_minute: int = 600, load_ms: float = 20):
         self.faults = Faults()
@@ -27,7 +27,7 @@
 
     async def _get(self, _request: web.Request) -> web.Response:
         now = time.monotonic()
-        self._times = [one for one in self._times if now - one < 60]
+        self._times = [time_s for time_s in self._times if now - time_s < 60]
         if len(self._times) >= self._limit:
             self._refused += 1
             return web.Response(status=429)
