--- a/tests/standins/engine.py
+++ b/tests/standins/engine.py
@@ -195,7 +195,7 @@
         return web.json_response(self._load)
 
     async def _get_cache_events(self, _request: web.Request) -> web.Response:
-        # Events are late and incomplete: the newest and every fifth are missing.
+        # Events come late and with gaps: the newest and every fifth are left out.
         visible_events = [
             event
             for number, event in enumerate(self._cache_events[:-1])
--- a/tests/standins/faults.py
+++ b/tests/standins/faults.py
@@ -26,7 +26,7 @@
         application.router.add_get('/calls', self._get_calls)
 
     def has(self, name: str) -> bool:
-        """Tell whether a fault applies to this call, and count it if limited."""
+        """Tell whether a fault applies to this call; use up one of `left`."""
         if not self.active.get(name, 0):
             return False
         remaining = self.active.get('left', 1)
--- a/tests/standins/upstream.py
+++ b/tests/standins/upstream.py
@@ -56,7 +56,7 @@
         self._server.close()
 
     def crash(self) -> None:
-        """Stop listening and abort all connections, as a killed process does."""
+        """Stop listening and abort all connections, like a killed process."""
         self.has_crashed = True
         self._server.close()
         for writer in tuple(self._open_writers):
