--- a/tests/standins/engine.py
+++ b/tests/standins/engine.py
@@ -195,7 +195,7 @@
         return web.json_response(self._load)
 
     async def _get_cache_events(self, _request: web.Request) -> web.Response:
-        # Events come late and with gaps: the newest and every fifth are left out.
+        # Late and incomplete: leaves out the newest and every fifth event.
         visible_events = [
             event
             for number, event in enumerate(self._cache_events[:-1])
