--- a/tests/standins/upstream.py
+++ b/tests/standins/upstream.py
@@ -34,7 +34,7 @@
         self.connections = 0
         self.piece_ms = 1
         self.failing_pieces = 0
-        self.busy = 0
+        self.active_calls = 0
         self.most_busy = 0
         # Paused streams and held responses continue once this is set.
         self.may_go_on = asyncio.Event()
@@ -113,10 +113,10 @@
         if any(item.get('key') == CRASHING_KEY for item in items):
             self.crash()
             return False
-        self.busy += 1
-        self.most_busy = max(self.most_busy, self.busy)
+        self.active_calls += 1
+        self.most_busy = max(self.most_busy, self.active_calls)
         await asyncio.sleep(self.piece_ms / 1000)
-        self.busy -= 1
+        self.active_calls -= 1
         body = msgspec.json.encode(
             {'items': list(map(self._make_result, items))}
         )
