--- a/tests/standins/key_value.py
+++ b/tests/standins/key_value.py
@@ -49,6 +49,7 @@
         self.revision = 1
         self.compacted_revision = 0
         self.entries: dict[str, Entry] = {}
+        # TTL in milliseconds and expiry on time.monotonic(), by lease.
         self.leases: dict[int, list[float]] = {}
         self.history: list[tuple[int, dict]] = []
         self.change_condition = asyncio.Condition()
@@ -65,8 +66,8 @@
         self.revision, entries, leases = backup
         self.entries = dict(entries)
         self.leases = {
-            lease: known
-            for lease, known in self.leases.items()
+            lease: lease_state
+            for lease, lease_state in self.leases.items()
             if lease in leases
         }
         self.history.clear()
@@ -246,8 +247,8 @@
         )
 
     def _put(self, key: str, encoded: str, lease: int) -> None:
-        known = self.entries.get(key)
-        created = known.created if known else self.revision
+        previous = self.entries.get(key)
+        created = previous.created if previous else self.revision
         self.entries[key] = Entry(encoded, self.revision, created, lease)
         self.history.append((self.revision, self.entries[key].render(key)))
 
@@ -263,11 +264,11 @@
         return web.json_response({'lease': lease, 'ttl_ms': ttl_ms})
 
     async def _renew(self, request: web.Request) -> web.Response:
-        known = self.leases.get(int(request.match_info['lease']))
-        if known is None:
+        lease_state = self.leases.get(int(request.match_info['lease']))
+        if lease_state is None:
             return web.Response(status=404)
-        known[1] = time.monotonic() + known[0] / 1000
-        return web.json_response({'ttl_ms': known[0]})
+        lease_state[1] = time.monotonic() + lease_state[0] / 1000
+        return web.json_response({'ttl_ms': lease_state[0]})
 
     async def _revoke(self, request: web.Request) -> web.Response:
         lease = int(request.match_info['lease'])
@@ -295,10 +296,12 @@
                 # it extends them when it is available again.
                 now = time.monotonic()
                 if self.faults.active.get('down'):
-                    for known in self.leases.values():
-                        known[1] = max(known[1], now + known[0] / 1000)
-                for lease, known in list(self.leases.items()):
-                    if known[1] < now:
+                    for lease_state in self.leases.values():
+                        lease_state[1] = max(
+                            lease_state[1], now + lease_state[0] / 1000
+                        )
+                for lease, lease_state in list(self.leases.items()):
+                    if lease_state[1] < now:
                         await self._revoke_lease(lease)
 
         task = asyncio.ensure_future(loop())
