--- a/tests/features/steps/lapsed_entries.py
+++ b/tests/features/steps/lapsed_entries.py
@@ -78,7 +78,7 @@
     subscriber = _DirectorySubscriber()
     poller = make_follower(session, subscriber, bound_ms=context.bound_ms)
     session.lost_ms = outage
-    with use_monotonic(loop.get_ms):
+    with override_clocks(loop.get_ms):
         polling = asyncio.ensure_future(poller.run())
         await change_store(session)
         await asyncio.sleep(_RUN_MS / 1000)
--- a/tests/features/steps/late_service.py
+++ b/tests/features/steps/late_service.py
@@ -71,7 +71,7 @@
         """Start ready requests at the interval that a gateway uses."""
         while self.get_ms() < until_ms:
             self.queue.start_ready()
-            await asyncio.sleep(global_settings.GATE_TICK_MS / 1000)
+            await asyncio.sleep(global_settings.SCHEDULER_TICK_MS / 1000)
 
     async def play(self, *deferred, duration_ms: float = 6000) -> None:
         tasks = [asyncio.ensure_future(coroutine) for coroutine in deferred]
--- a/tests/features/steps/lost_calls.py
+++ b/tests/features/steps/lost_calls.py
@@ -60,7 +60,7 @@
         context.has_response = response.done()
         response.cancel()
 
-    with use_monotonic(context.loop.get_ms):
+    with override_clocks(context.loop.get_ms):
         context.loop.run_until_complete(monitor())
     context.ended_ms = context.loop.get_ms()
 
@@ -123,7 +123,7 @@
         step='pieces',
         peer='i0',
     )
-    with use_monotonic(VirtualLoop().get_ms):
+    with override_clocks(VirtualLoop().get_ms):
         _make_result_handler(context.pool).record_failure(
             'p',
             context.pool.gate,
--- a/tests/features/steps/named_limits.py
+++ b/tests/features/steps/named_limits.py
@@ -274,10 +274,10 @@
 @then('each is told in turn, those that have changed first')
 def check_sent_in_turn(context):
     limits = AdvertisedLimits()
-    max_limits = global_settings.LIMITS_IN_MESSAGE
+    max_limits = global_settings.MAX_LIMITS_PER_MESSAGE
     for number in range(3 * max_limits):
         limits.record(f'i{number}@0', _make_limit(1, 0, 1))
-    now_ms = global_settings.LIMITS_TOLD_FIRST_MS + 10
+    now_ms = global_settings.CHANGED_LIMIT_PRIORITY_MS + 10
     limits.record('i0@0', _make_limit(2, now_ms - 2, now_ms - 1))
     updates = [limits.choose_to_send(now_ms) for _ in range(4)]
     assert all(
@@ -291,7 +291,7 @@
 def check_expiry(context):
     limits = AdvertisedLimits()
     limits.record('u1@0', _make_limit(1, 0, 10))
-    ttl_ms = global_settings.NAMED_LIMIT_BELIEVED_MS
+    ttl_ms = global_settings.ADVERTISED_LIMIT_TTL_MS
     assert limits.find('u1@0', ttl_ms - 1)
     assert not limits.find('u1@0', ttl_ms)
     assert math.isclose(
--- a/tests/features/steps/store_bounds.py
+++ b/tests/features/steps/store_bounds.py
@@ -113,7 +113,7 @@
     subscriber = _ConfigurationSubscriber()
     session.put(_CONFIGURATION, case.size_bytes)
     poller = make_follower(session, subscriber)
-    with use_monotonic(loop.get_ms):
+    with override_clocks(loop.get_ms):
         polling = asyncio.ensure_future(poller.run())
         await asyncio.sleep(changed_ms / 1000)
         session.is_mute = case.is_mute
