--- a/tests/features/steps/at_most_once.py
+++ b/tests/features/steps/at_most_once.py
@@ -12,34 +12,34 @@
 _PIPELINE = 'certificate-drafting'
 _POOL = 'ledger-api'
 _LEASE_S = 3
-_LIMIT_S = 60
+_TIMEOUT_S = 60
 
 
-def _get_upstreams(context):
+def _get_pool_instances(context):
     return context.stage.fleet.plan.get_pool(_POOL)
 
 
 def _set_faults(context, **faults):
-    for one in _get_upstreams(context):
+    for instance in _get_pool_instances(context):
         context.stage.run(
-            context.stage.fleet.set_faults(one.upstream_port, **faults),
+            context.stage.fleet.set_faults(instance.upstream_port, **faults),
         )
 
 
 async def _read_assignment(fleet) -> Assignment:
     newest = Assignment()
-    for one in fleet.plan.get_pool(_POOL):
+    for instance in fleet.plan.get_pool(_POOL):
         try:
             async with asyncio.timeout(0.5):
                 async with fleet.session.get(
-                    f'http://{one.address}/v1/once/assignment',
+                    f'http://{instance.address}/v1/once/assignment',
                     headers=fleet.cluster_headers,
                 ) as response:
-                    known = decode_assignment(await response.text())
+                    assignment = decode_assignment(await response.text())
         except (OSError, TimeoutError):
             continue
-        if known.epoch > newest.epoch:
-            newest = known
+        if assignment.epoch > newest.epoch:
+            newest = assignment
     return newest
 
 
@@ -53,9 +53,9 @@
 def _count_effects(context) -> int:
     effects = context.stage.run(context.stage.fleet.get_effects())
     return sum(
-        one['subject'] == context.sent.subject
-        and one['operation'] == 'record-custody'
-        for one in effects
+        effect['subject'] == context.sent.subject
+        and effect['operation'] == 'record-custody'
+        for effect in effects
     )
 
 
@@ -67,13 +67,13 @@
 
 
 @when('a request is answered')
-def send_answered(context):
+def send_and_check_answered(context):
     send(context)
     assert context.outcome == 'done', context.sent
 
 
 @when('a request is answered and asked again through another entry')
-def repeat_elsewhere(context):
+def send_through_each_entry(context):
     stage = context.stage
     context.sent = stage.callers.make(_PIPELINE)
     for entry in stage.fleet.entries:
@@ -81,7 +81,7 @@
 
 
 @when('a request is sent through both entries at once')
-def send_twice(context):
+def send_through_entries_at_once(context):
     stage = context.stage
     context.sent = stage.callers.make(_PIPELINE)
 
@@ -97,7 +97,7 @@
 
 
 @then('both answers are the same and it is recorded once')
-def check_same(context):
+def check_same_answers(context):
     answers = context.sent.answers
     assert len(answers) == 2, context.sent
     assert answers[0] == answers[1]
@@ -105,8 +105,8 @@
 
 
 @when('a key is used again with other inputs')
-def reuse_key(context):
-    send_answered(context)
+def reuse_key_with_other_inputs(context):
+    send_and_check_answered(context)
     first = context.sent
     context.sent = context.stage.callers.make(_PIPELINE)
     context.sent.key = first.key
@@ -122,17 +122,17 @@
 
 
 @given('the ledger loses its answers')
-def lose_answers(context):
+def lose_ledger_answers(context):
     _set_faults(context, lose_answer=1)
 
 
 @given('the ledger has the fault {fault}')
-def spoil_ledger(context, fault):
+def inject_ledger_fault(context, fault):
     _set_faults(context, **{fault: 1})
 
 
 @given('the ledger behaves')
-def mend_ledger(context):
+def clear_ledger_faults(context):
     _set_faults(context)
 
 
@@ -142,19 +142,19 @@
 
 
 @when('it is asked again')
-def ask_again(context):
+def retry(context):
     context.outcome = context.stage.run(
         context.stage.callers.send(context.sent, stream=False),
     )
 
 
 @when('it is asked again until it has a final answer')
-def ask_until_final(context):
-    end = time.monotonic() + _LIMIT_S
-    while time.monotonic() < end:
-        ask_again(context)
-        is_settled = context.outcome in {'done', 'unknown'}
-        if is_settled and context.sent.reasons[-1:] != ['ownership_unsure']:
+def retry_until_final(context):
+    deadline = time.monotonic() + _TIMEOUT_S
+    while time.monotonic() < deadline:
+        retry(context)
+        is_final = context.outcome in {'done', 'unknown'}
+        if is_final and context.sent.reasons[-1:] != ['ownership_unsure']:
             return
     raise AssertionError(context.sent)
 
@@ -183,20 +183,22 @@
 @when('a request is sent and the owner of its key freezes meanwhile')
 def freeze_owner(context):
     stage = context.stage
-    # A key born within half a second of the takeover before this scenario is
-    # refused, and its call would never reach the ledger.
+    # A key created within half a second of the takeover that precedes this
+    # scenario is refused, so its call would never reach the ledger.
     stage.run(asyncio.sleep(1))
     context.sent = stage.callers.make(_PIPELINE)
     context.frozen = _find_owner(context)
-    upstream = stage.fleet.plan.get(context.frozen).upstream_port
+    upstream_port = stage.fleet.plan.get(context.frozen).upstream_port
 
     async def send_and_freeze():
-        before = await stage.fleet.get_json(upstream, '/calls')
+        calls_before = await stage.fleet.get_json(upstream_port, '/calls')
         sending = asyncio.ensure_future(
             stage.callers.send(context.sent, stream=False),
         )
-        # The call has reached the ledger, which takes its time.
-        while await stage.fleet.get_json(upstream, '/calls') == before:
+        # Wait until the call has reached the ledger, which is slow.
+        while (
+            await stage.fleet.get_json(upstream_port, '/calls') == calls_before
+        ):
             assert not sending.done(), context.sent
             await asyncio.sleep(0.01)
         stage.fleet.processes.send(context.frozen, signal.SIGSTOP)
@@ -206,28 +208,28 @@
 
 
 @when('the key has a new owner')
-def wait_new_owner(context):
-    end = time.monotonic() + _LIMIT_S
+def wait_for_new_owner(context):
+    deadline = time.monotonic() + _TIMEOUT_S
     while _find_owner(context) == context.frozen:
-        assert time.monotonic() < end, 'nobody took over'
+        assert time.monotonic() < deadline, 'no instance took over the key'
 
 
 @when('the frozen owner wakes up')
-def wake_owner(context):
+def resume_owner(context):
     fleet = context.stage.fleet
     fleet.processes.send(context.frozen, signal.SIGCONT)
     context.stage.run(fleet.wait_ready())
 
 
 @given('the platform is down for three leases')
-def cut_platform(context):
+def stop_platform(context):
     fleet = context.stage.fleet
     context.stage.run(fleet.set_faults(fleet.plan.kv_port, down=1))
     context.stage.run(asyncio.sleep(3 * _LEASE_S))
 
 
 @given('the platform is back')
-def mend_platform(context):
+def restore_platform(context):
     fleet = context.stage.fleet
     context.stage.run(fleet.set_faults(fleet.plan.kv_port))
     context.stage.run(fleet.wait_ready())
@@ -239,87 +241,101 @@
     context.many = [stage.callers.make(_PIPELINE) for _ in range(count)]
 
     async def send_all():
-        await asyncio.gather(*(stage.callers.send(one) for one in context.many))
+        await asyncio.gather(
+            *(stage.callers.send(request) for request in context.many)
+        )
 
     stage.run(send_all())
 
 
 @then('all of them are answered')
-def check_all(context):
-    missing = [one for one in context.many if 'done' not in one.outcomes]
-    assert not missing, missing
+def check_all_answered(context):
+    unanswered = [
+        request for request in context.many if 'done' not in request.outcomes
+    ]
+    assert not unanswered, unanswered
 
 
 @given('every range is with the member that should own it')
-def wait_settled(context):
+def wait_for_preferred_owners(context):
     """
-    Wait until no change of owners is due.
+    Wait until every range is owned by its preferred owner.
 
-    An outage that begins in the middle of one is another story than an
-    outage: it closes the ranges that are on their way.
+    An outage that begins while ranges change their owner is a different
+    case: the ranges being moved then refuse their keys.
     """
-    end = time.monotonic() + _LIMIT_S
-    while not context.stage.run(_is_settled(context.stage.fleet)):
-        assert time.monotonic() < end, 'ownership never settled'
+    deadline = time.monotonic() + _TIMEOUT_S
+    while not context.stage.run(_has_preferred_owners(context.stage.fleet)):
+        assert time.monotonic() < deadline, (
+            'a range is still not with its preferred owner'
+        )
         context.stage.run(asyncio.sleep(0.05))
 
 
-async def _is_settled(fleet) -> bool:
-    known = await _read_assignment(fleet)
-    names = [one.name for one in fleet.plan.get_pool(_POOL)]
-    if {member.instance for member in known.members} != set(names):
+async def _has_preferred_owners(fleet) -> bool:
+    assignment = await _read_assignment(fleet)
+    names = [instance.name for instance in fleet.plan.get_pool(_POOL)]
+    if {member.instance for member in assignment.members} != set(names):
         return False
     return all(
         owner.instance == get_preferred_owner(index, names)
-        for index, owner in enumerate(known.ranges)
+        for index, owner in enumerate(assignment.ranges)
     )
 
 
 @when('the platform goes away while the frozen owner gets its ranges back')
-def cut_in_move(context):
+def stop_platform_during_move(context):
     stage = context.stage
-    stage.run(_cut_in_move(context, stage))
+    stage.run(_stop_platform_during_move(context, stage))
     stage.run(asyncio.sleep(3 * _LEASE_S))
 
 
-async def _cut_in_move(context, stage) -> None:
+async def _stop_platform_during_move(context, stage) -> None:
     fleet = stage.fleet
-    # Ranges are handed over once the calls of their keys have ended.
-    slow = [stage.callers.make(_PIPELINE) for _ in range(12)]
-    sending = [asyncio.ensure_future(stage.callers.send(one)) for one in slow]
+    # A range is handed over only when the calls of its keys have ended, so
+    # slow calls keep the move in progress.
+    slow_requests = [stage.callers.make(_PIPELINE) for _ in range(12)]
+    sending = [
+        asyncio.ensure_future(stage.callers.send(request))
+        for request in slow_requests
+    ]
     fleet.processes.send(context.frozen, signal.SIGCONT)
-    names = {one.name for one in fleet.plan.get_pool(_POOL)}
+    names = {instance.name for instance in fleet.plan.get_pool(_POOL)}
     while {
         member.instance for member in (await _read_assignment(fleet)).members
     } != names:
         await asyncio.sleep(0.01)
-    # The others see the returned member at their next reading of the record.
+    # The other members see the returned member when they next read the record.
     await asyncio.sleep(_LEASE_S / 3)
     await fleet.set_faults(fleet.plan.kv_port, down=1)
     await asyncio.gather(*sending)
 
 
 @when('the ledger behaves')
-def mend_ledger_now(context):
+def clear_ledger_faults_now(context):
     _set_faults(context)
 
 
 @when('the unanswered ones are asked again')
-def ask_unanswered(context):
+def retry_unanswered(context):
     stage = context.stage
-    missing = [one for one in context.many if 'done' not in one.outcomes]
+    unanswered = [
+        request for request in context.many if 'done' not in request.outcomes
+    ]
 
     async def send_all():
-        await asyncio.gather(*(stage.callers.send(one) for one in missing))
+        await asyncio.gather(
+            *(stage.callers.send(request) for request in unanswered)
+        )
 
     stage.run(send_all())
 
 
 @then('none is left without an answer')
-def check_answered(context):
-    cut = [
-        one
-        for one in context.many
-        if not {'done', 'unknown', 'not_run'} & set(one.outcomes)
+def check_final_outcomes(context):
+    unfinished = [
+        request
+        for request in context.many
+        if not {'done', 'unknown', 'not_run'} & set(request.outcomes)
     ]
-    assert not cut, cut
+    assert not unfinished, unfinished
--- a/tests/features/steps/configuration_checks.py
+++ b/tests/features/steps/configuration_checks.py
@@ -10,61 +10,68 @@
 from ragworthollow.configuration.merge import SourceFile, merge_files
 from ragworthollow.utils import hash_secret
 
-_NAME = '50-further.yaml'
-_STAGE = '{name: a, kind: plain, pool: gin-sync}'
-_GENERATE = 'name: a, kind: generate, pool: ragworth-pool'
+_FILE_NAME = '50-further.yaml'
+_PLAIN_STAGE = '{name: a, kind: plain, pool: gin-sync}'
+_GENERATE_FIELDS = 'name: a, kind: generate, pool: ragworth-pool'
 
 
-def _organisation(fields: str) -> str:
+def _render_organisation(fields: str) -> str:
     return f'organisations: {{x: {{{fields}}}}}'
 
 
-def _pipeline(stages: str, more: str = 'organisations: [buyers]') -> str:
-    return f'pipelines: {{x: {{{more}, stages: [{stages}]}}}}'
+def _render_pipeline(
+    stages: str, fields: str = 'organisations: [buyers]'
+) -> str:
+    return f'pipelines: {{x: {{{fields}, stages: [{stages}]}}}}'
 
 
-_FREE = f'key_sha256: ["{hash_secret("free")}"]'
-_TAKEN = f'key_sha256: ["{hash_secret("demo-key-of-buyers")}"]'
-_PARTS = {
+_UNUSED_KEY = f'key_sha256: ["{hash_secret("free")}"]'
+_USED_KEY = f'key_sha256: ["{hash_secret("demo-key-of-buyers")}"]'
+_FILE_CONTENTS = {
     'text that is not YAML': 'a: [',
     'an unknown field': 'pols: {}',
-    'a deadline that is a word': _pipeline(_STAGE, 'deadline_ms: soon'),
+    'a deadline that is a word': _render_pipeline(
+        _PLAIN_STAGE, 'deadline_ms: soon'
+    ),
     'no owner': '',
     "another owner's pool": 'pools: {gin-sync: {concurrency: 2}}',
-    'a key that is no hash': _organisation('key_sha256: [secret]'),
-    'a key that another organisation has': _organisation(_TAKEN),
-    'a guarantee above one': _organisation(f'{_FREE}, guarantee: 1.5'),
-    'guarantees of more than everything': _organisation(
-        f'{_FREE}, guarantee: 0.9',
+    'a key that is no hash': _render_organisation('key_sha256: [secret]'),
+    'a key that another organisation has': _render_organisation(_USED_KEY),
+    'a guarantee above one': _render_organisation(
+        f'{_UNUSED_KEY}, guarantee: 1.5'
+    ),
+    'guarantees of more than everything': _render_organisation(
+        f'{_UNUSED_KEY}, guarantee: 0.9',
     ),
-    'a pipeline of an unknown organisation': _pipeline(
-        _STAGE,
+    'a pipeline of an unknown organisation': _render_pipeline(
+        _PLAIN_STAGE,
         'organisations: [nobody]',
     ),
-    'a pipeline without stages': _pipeline(''),
-    'a worth of zero': _organisation(f'{_FREE}, worth: 0'),
-    'a deadline of zero': _pipeline(
-        _STAGE,
+    'a pipeline without stages': _render_pipeline(''),
+    'a worth of zero': _render_organisation(f'{_UNUSED_KEY}, worth: 0'),
+    'a deadline of zero': _render_pipeline(
+        _PLAIN_STAGE,
         'organisations: [buyers], deadline_ms: 0',
     ),
-    'a stage of an unknown pool': _pipeline(
+    'a stage of an unknown pool': _render_pipeline(
         '{name: a, kind: plain, pool: nowhere}',
     ),
-    'an unknown adapter': _pipeline(
-        f'{{{_GENERATE}, model: notes-3b, adapter: none}}',
+    'an unknown adapter': _render_pipeline(
+        f'{{{_GENERATE_FIELDS}, model: notes-3b, adapter: none}}',
     ),
-    'two stages that are not repeatable': _pipeline(
+    'two stages that are not repeatable': _render_pipeline(
         '{name: a, kind: plain, pool: gin-sync, repeatable: false},'
         '{name: b, kind: plain, pool: gin-sync, repeatable: false}',
     ),
-    # A repeat of its key would have got an answer without the last stage.
-    'a stage behind one that is not repeatable': _pipeline(
+    # A retry with the same idempotency key would get an answer that lacks the
+    # last stage.
+    'a stage behind one that is not repeatable': _render_pipeline(
         '{name: a, kind: plain, pool: gin-sync, repeatable: false},'
         '{name: b, kind: plain, pool: gin-sync}',
     ),
     'a model that its pool does not carry': (
         'models: {new: {version: "1"}}\n'
-        f'{_pipeline(f"{{{_GENERATE}, model: new}}")}'
+        f'{_render_pipeline(f"{{{_GENERATE_FIELDS}, model: new}}")}'
     ),
     'a pool of no concurrency': 'pools: {x: {concurrency: 0}}',
     'a pool of an unknown model': 'pools: {x: {models: [none]}}',
@@ -100,27 +107,27 @@
 def add_file(context, what):
     owner = '' if what == 'no owner' else 'owner: newcomer\n'
     context.files.append(
-        SourceFile(name=_NAME, text=f'{owner}{_PARTS[what]}\n'),
+        SourceFile(name=_FILE_NAME, text=f'{owner}{_FILE_CONTENTS[what]}\n'),
     )
 
 
 @then('the checks report {check_id} with the name of the file')
-def check_reported(context, check_id):
+def check_problem_reported(context, check_id):
     problems = check_files(context.files).problems
-    found = [one for one in problems if one.check_id == check_id]
-    assert found, problems
+    matching = [problem for problem in problems if problem.check_id == check_id]
+    assert matching, problems
     assert any(
-        one.where.startswith(_NAME) or check_id == 'config.E008'
-        for one in found
-    ), found
-    assert all(one.text for one in found)
+        problem.where.startswith(_FILE_NAME) or check_id == 'config.E008'
+        for problem in matching
+    ), matching
+    assert all(problem.text for problem in matching)
 
 
 @then('the checks report nothing and the pool comes from the further file')
 def check_overridden(context):
     merged = check_files(context.files)
     assert not merged.problems, merged.problems
-    assert merged.origins['pools.gin-sync'] == _NAME
+    assert merged.origins['pools.gin-sync'] == _FILE_NAME
     assert merged.deployment.pools['gin-sync'].concurrency == 2
 
 
--- a/tests/features/steps/configuration_fleet.py
+++ b/tests/features/steps/configuration_fleet.py
@@ -12,8 +12,11 @@
 from ragworthollow.utils.hashing import get_rank
 from tests.fixtures.load import start_load, stop_load
 
-_FILES = {'pikselis': '10-pikselis.yaml', 'storefronts': '20-storefronts.yaml'}
-_LIMIT_S = 40
+_OPERATOR_FILES = {
+    'pikselis': '10-pikselis.yaml',
+    'storefronts': '20-storefronts.yaml',
+}
+_TIMEOUT_S = 40
 
 
 def _get_generation(context) -> int:
@@ -25,23 +28,23 @@
 def _pull(context, operator, name=''):
     folder = context.stage.fleet.folder / f'pulled-{operator}-{name}'
     shutil.rmtree(folder, ignore_errors=True)
-    done = context.stage.fleet.run_tool(
+    completed = context.stage.fleet.run_tool(
         operator,
         'pull',
         str(folder),
         '--owner',
         operator,
     )
-    assert not done.returncode, done
+    assert not completed.returncode, completed
     return folder
 
 
-def _edit(folder, operator, note):
-    path = folder / _FILES[operator]
-    path.write_text(f'{path.read_text()}# {note}\n')
+def _append_comment(folder, operator, comment):
+    path = folder / _OPERATOR_FILES[operator]
+    path.write_text(f'{path.read_text()}# {comment}\n')
 
 
-def _apply(context, operator, folder, *more):
+def _apply(context, operator, folder, *options):
     return context.stage.fleet.run_tool(
         operator,
         'apply',
@@ -49,39 +52,44 @@
         '--owner',
         operator,
         '--yes',
-        *more,
+        *options,
     )
 
 
-def _change(context, operator, note):
+def _pull_and_apply(context, operator, comment):
     folder = _pull(context, operator)
-    _edit(folder, operator, note)
+    _append_comment(folder, operator, comment)
     return _apply(context, operator, folder)
 
 
-def _wait_generation(context, least, names=None):
+def _wait_for_generation(context, min_generation, names=None):
     fleet = context.stage.fleet
-    wanted = names or [one.name for one in fleet.plan.instances]
+    awaited = names or [instance.name for instance in fleet.plan.instances]
 
     async def wait():
-        end = time.monotonic() + _LIMIT_S
-        while time.monotonic() < end:
-            statuses = [await fleet.get_status(name) for name in wanted]
-            if all(one and one['generation'] >= least for one in statuses):
-                return [one['generation'] for one in statuses]
+        deadline = time.monotonic() + _TIMEOUT_S
+        while time.monotonic() < deadline:
+            statuses = [await fleet.get_status(name) for name in awaited]
+            if all(
+                status and status['generation'] >= min_generation
+                for status in statuses
+            ):
+                return [status['generation'] for status in statuses]
             await asyncio.sleep(0.1)
         return None
 
     generations = context.stage.run(wait())
-    assert generations, 'a process stays behind'
+    assert generations, 'a process did not reach the generation in time'
 
 
 @when('pikselis and storefronts apply a change at the same time')
-def change_both(context):
+def apply_concurrently(context):
     context.before = _get_generation(context)
-    folders = {operator: _pull(context, operator) for operator in _FILES}
+    folders = {
+        operator: _pull(context, operator) for operator in _OPERATOR_FILES
+    }
     for operator, folder in folders.items():
-        _edit(folder, operator, 'at once')
+        _append_comment(folder, operator, 'at once')
 
     async def apply_both():
         return await asyncio.gather(
@@ -95,17 +103,19 @@
 
 
 @then('both are accepted and in force in every process')
-def check_both(context):
-    assert not any(one.returncode for one in context.done), context.done
-    _wait_generation(context, context.before + 2)
+def check_both_active(context):
+    assert not any(completed.returncode for completed in context.done), (
+        context.done
+    )
+    _wait_for_generation(context, context.before + 2)
 
 
 @when('two people of pikselis apply different changes of one file')
-def change_same(context):
+def apply_conflicting_changes(context):
     first = _pull(context, 'pikselis', 'first')
     second = _pull(context, 'pikselis', 'second')
-    _edit(first, 'pikselis', 'first')
-    _edit(second, 'pikselis', 'second')
+    _append_comment(first, 'pikselis', 'first')
+    _append_comment(second, 'pikselis', 'second')
     context.first = _apply(context, 'pikselis', first)
     context.done = _apply(context, 'pikselis', second)
 
@@ -119,10 +129,10 @@
 
 
 @when('storefronts applies a change of the file of pikselis')
-def change_rival(context):
+def change_file_of_other_owner(context):
     context.before = _get_generation(context)
     folder = _pull(context, 'pikselis')
-    _edit(folder, 'pikselis', 'rival')
+    _append_comment(folder, 'pikselis', 'rival')
     context.done = context.stage.fleet.run_tool(
         'storefronts',
         'apply',
@@ -134,7 +144,7 @@
 
 
 @when('storefronts applies a file that sets the portal pool')
-def override(context):
+def override_pool(context):
     context.before = _get_generation(context)
     folder = _pull(context, 'storefronts')
     (folder / '90-override.yaml').write_text(
@@ -158,11 +168,11 @@
 
 
 @when('the platform loses the answer to a change of pikselis')
-def lose_answer(context):
+def lose_answer_to_change(context):
     fleet = context.stage.fleet
     context.before = _get_generation(context)
     folder = _pull(context, 'pikselis')
-    _edit(folder, 'pikselis', 'lost answer')
+    _append_comment(folder, 'pikselis', 'lost answer')
     context.stage.run(
         fleet.set_faults(fleet.plan.kv_port, lose_answer=1, left=3),
     )
@@ -171,31 +181,31 @@
 
 
 @then('the change is accepted once and in force in every process')
-def check_once(context):
+def check_applied_once(context):
     assert not context.done[0].returncode, context.done
-    _wait_generation(context, context.before + 1)
+    _wait_for_generation(context, context.before + 1)
     assert _get_generation(context) == context.before + 1
 
 
 @when('the platform goes down right after a change of pikselis')
-def fail_after(context):
+def stop_platform_after_change(context):
     fleet = context.stage.fleet
     context.before = _get_generation(context)
     folder = _pull(context, 'pikselis')
-    _edit(folder, 'pikselis', 'then down')
+    _append_comment(folder, 'pikselis', 'then down')
 
-    async def stop_renewals_and_change():
-        # The first write after this is answered, then the platform is gone.
+    async def set_fault_and_apply():
+        # The platform answers the next write and is then unavailable.
         await fleet.set_faults(fleet.plan.kv_port, down_after_manifest=1)
         return await asyncio.to_thread(_apply, context, 'pikselis', folder)
 
-    context.done = [context.stage.run(stop_renewals_and_change())]
+    context.done = [context.stage.run(set_fault_and_apply())]
     assert not context.done[0].returncode, context.done
 
 
 @then('the change is in force in every process')
-def check_everywhere(context):
-    _wait_generation(context, context.before + 1)
+def check_active_everywhere(context):
+    _wait_for_generation(context, context.before + 1)
 
 
 @when('a sidecar is killed and started during the outage')
@@ -207,7 +217,7 @@
 
 
 @given('the platform has come back')
-def mend(context):
+def restore_platform(context):
     fleet = context.stage.fleet
     context.stage.run(fleet.set_faults(fleet.plan.kv_port))
     context.stage.run(fleet.wait_ready())
@@ -219,9 +229,9 @@
     context.before = _get_generation(context)
     domain = 'riga-c'
     members = [
-        one.name
-        for one in fleet.plan.instances
-        if one.failure_domain == domain and one.kind != 'entry'
+        instance.name
+        for instance in fleet.plan.instances
+        if instance.failure_domain == domain and instance.kind != 'entry'
     ]
     members.sort(
         key=lambda name: get_rank(f'watch/{domain}', name),
@@ -230,28 +240,28 @@
     context.frozen = members[:1]
     for name in context.frozen:
         fleet.processes.send(name, signal.SIGSTOP)
-    done = _change(context, 'pikselis', 'frozen watcher')
-    assert not done.returncode, done
+    completed = _pull_and_apply(context, 'pikselis', 'frozen watcher')
+    assert not completed.returncode, completed
 
 
 @then('the change is in force in every process that runs')
-def check_running(context):
+def check_active_in_running(context):
     names = [
-        one.name
-        for one in context.stage.fleet.plan.instances
-        if one.name not in context.frozen
+        instance.name
+        for instance in context.stage.fleet.plan.instances
+        if instance.name not in context.frozen
     ]
-    _wait_generation(context, context.before + 1, names)
+    _wait_for_generation(context, context.before + 1, names)
 
 
 @given('all processes run')
-def thaw(context):
+def resume_processes(context):
     for name in context.frozen:
         context.stage.fleet.processes.send(name, signal.SIGCONT)
     context.stage.run(context.stage.fleet.wait_ready())
 
 
-_BAD_FILES = {
+_INVALID_FILES = {
     'a file with an unknown field': b'owner: pikselis\npols: {}\n',
     'a file with a key written twice': b'owner: pikselis\nowner: pikselis\n',
     'a file with a cyclic alias': b'owner: pikselis\npools: &a {b: *a}\n',
@@ -266,7 +276,7 @@
 
 
 @when('an operator sends {what}')
-def send_bad(context, what):
+def send_invalid_change(context, what):
     context.before = _get_generation(context)
     if what == 'a change with a wrong key':
         context.done = context.stage.fleet.run_tool(
@@ -275,13 +285,13 @@
         )
         return
     folder = _pull(context, 'pikselis')
-    bad = _BAD_FILES[what]
-    (folder / '15-bad.yaml').write_bytes(bad)
+    content = _INVALID_FILES[what]
+    (folder / '15-bad.yaml').write_bytes(content)
     context.done = _apply(context, 'pikselis', folder)
-    if len(bad) < 1_000_000 and b'\xff' not in bad:
-        # The service itself refuses it, too, whatever the tool does.
-        answer = context.stage.run(_post_change(context, bad.decode()))
-        assert not answer['accepted'], answer
+    if len(content) < 1_000_000 and b'\xff' not in content:
+        # The service has to refuse it, too, without the checks of the tool.
+        result = context.stage.run(_post_change(context, content.decode()))
+        assert not result['accepted'], result
 
 
 async def _post_change(context, text):
@@ -306,31 +316,34 @@
 
 
 @given('a steady load of requests')
-def load(context):
+def start_steady_load(context):
     start_load(context)
 
 
 @when('consortium changes the version of a model')
-def change_model(context):
+def change_model_version(context):
     folder = _pull(context, 'consortium')
     path = folder / '00-consortium.yaml'
     path.write_text(path.read_text().replace('"2026.11"', '"2027.01"'))
-    done = _apply(context, 'consortium', folder)
-    assert not done.returncode, done
+    completed = _apply(context, 'consortium', folder)
+    assert not completed.returncode, completed
 
 
 @then('every engine carries the new version')
-def check_version(context):
+def check_engine_versions(context):
     fleet = context.stage.fleet
 
     async def wait():
-        end = time.monotonic() + _LIMIT_S
-        while time.monotonic() < end:
-            carried = [
-                await fleet.get_json(one.upstream_port, '/v1/models')
-                for one in fleet.plan.get_pool('lm-pool')
+        deadline = time.monotonic() + _TIMEOUT_S
+        while time.monotonic() < deadline:
+            model_lists = [
+                await fleet.get_json(engine.upstream_port, '/v1/models')
+                for engine in fleet.plan.get_pool('lm-pool')
             ]
-            versions = {one['models'].get('vision-7b') for one in carried}
+            versions = {
+                model_list['models'].get('vision-7b')
+                for model_list in model_lists
+            }
             if versions == {'2027.01'}:
                 return True
             await asyncio.sleep(0.2)
@@ -340,10 +353,10 @@
 
 
 @then('every request was answered')
-def check_answered(context):
+def check_all_answered(context):
     sent = stop_load(context)
-    missing = [one for one in sent if 'done' not in one.outcomes]
-    assert not missing, missing
+    unanswered = [request for request in sent if 'done' not in request.outcomes]
+    assert not unanswered, unanswered
 
 
 @when('the history is shown')
@@ -355,5 +368,5 @@
 def check_history(context, operator):
     lines = context.done.stdout.splitlines()
     assert any(
-        operator in line and _FILES[operator] in line for line in lines
+        operator in line and _OPERATOR_FILES[operator] in line for line in lines
     ), lines
--- a/tests/features/steps/door.py
+++ b/tests/features/steps/door.py
@@ -1,4 +1,4 @@
-"""Steps of the door."""
+"""Steps of the validation of requests at the entries."""
 
 import time
 import uuid
@@ -15,13 +15,13 @@
 _FUTURE_MS = 60_000
 
 
-def _get_future_key() -> str:
-    born_ms = int(time.time() * 1000) + _FUTURE_MS
-    return str(uuid.UUID(int=(born_ms << 80) | (7 << 76) | (2 << 62) | 1))
+def _make_future_key() -> str:
+    created_ms = int(time.time() * 1000) + _FUTURE_MS
+    return str(uuid.UUID(int=(created_ms << 80) | (7 << 76) | (2 << 62) | 1))
 
 
-def _make_request(what: str) -> dict:
-    """Return the parts in which a request differs from a good one."""
+def _get_request_parts(what: str) -> dict:
+    """Return the parts in which a request differs from a valid request."""
     return {
         'text that is not JSON': {'data': b'{"deadline'},
         'a body with an unknown field': {'json': {**_BODY, 'dedline': 1}},
@@ -37,21 +37,23 @@
             'json': {**_BODY, 'deadline_ms': 'soon'},
         },
         'an idempotency key of no version': {'once': 'abc'},
-        'an idempotency key of the future': {'once': _get_future_key()},
+        'an idempotency key of the future': {'once': _make_future_key()},
     }[what]
 
 
 @when('a caller sends {what}')
-def send(context, what):
+def send_request(context, what):
     if what == 'a whole request':
         stage = context.stage
         outcome = stage.run(stage.callers.send(stage.callers.make(_PIPELINE)))
         assert outcome == 'done', outcome
         return
-    context.answer = context.stage.run(_post(context, _make_request(what)))
+    context.answer = context.stage.run(
+        _post_request(context, _get_request_parts(what))
+    )
 
 
-async def _post(context, parts: dict) -> dict:
+async def _post_request(context, parts: dict) -> dict:
     fleet = context.stage.fleet
     key = parts.get('key', get_caller_key('bluefields'))
     headers = {'Idempotency-Key': parts.get('once', make_identifier())}
@@ -78,13 +80,13 @@
 
 
 @then('nothing was recorded for it')
-def check_nothing(context):
+def check_no_effect(context):
     effects = context.stage.run(context.stage.fleet.get_effects())
-    assert 'door' not in {one['subject'] for one in effects}
+    assert 'door' not in {effect['subject'] for effect in effects}
 
 
 @then('its key appears in no log of any process')
-def check_logs(context):
+def check_key_not_logged(context):
     stage = context.stage
     key = get_caller_key(stage.callers.sent[-1].organisation)
     for name in stage.fleet.processes.get_names():
@@ -92,7 +94,7 @@
 
 
 @when('a stranger calls {method} {path}')
-def call_as_stranger(context, method, path):
+def call_with_wrong_keys(context, method, path):
     fleet = context.stage.fleet
 
     async def call(address: str) -> int:
@@ -110,16 +112,18 @@
     addresses = [fleet.entries[0].address]
     if '/operator/' not in path:
         addresses.append(fleet.plan.get('ledger-api-0').address)
-    context.statuses = [context.stage.run(call(one)) for one in addresses]
+    context.statuses = [
+        context.stage.run(call(address)) for address in addresses
+    ]
 
 
 @then('the stranger is turned away')
-def check_turned_away(context):
+def check_unauthorized(context):
     assert set(context.statuses) == {401}, context.statuses
 
 
 @then('the books of all callers are clean')
-def check_books(context):
+def check_no_violations(context):
     stage = context.stage
     summary = stage.run(summarise(stage.fleet, stage.callers))
     for name in ('lost', 'doubled', 'crossed', 'false_not_run'):
