--- a/tests/features/environment.py
+++ b/tests/features/environment.py
@@ -1,4 +1,4 @@
-"""Set up what the tests share."""
+"""Set up the fixtures of the feature tests."""
 
 import sys
 from pathlib import Path
@@ -9,7 +9,7 @@
 
 from tests.fixtures.registry import FIXTURES  # noqa: E402
 
-_EACH = 'each.'
+_SCENARIO_TAG_PREFIX = 'each.'
 
 
 def before_tag(context, tag):
@@ -18,8 +18,8 @@
 
 
 def before_scenario(context, scenario):
-    """Set up what every scenario of a feature has for itself."""
+    """Set up the fixtures that are created anew for each scenario."""
     for tag in scenario.effective_tags:
-        if tag.startswith(_EACH):
-            name = tag.removeprefix(_EACH)
+        if tag.startswith(_SCENARIO_TAG_PREFIX):
+            name = tag.removeprefix(_SCENARIO_TAG_PREFIX)
             use_fixture_by_tag(f'fixture.{name}', context, FIXTURES)
--- a/tests/features/steps/configuration_fleet.py
+++ b/tests/features/steps/configuration_fleet.py
@@ -195,7 +195,8 @@
     _append_comment(folder, 'pikselis', 'then down')
 
     async def set_fault_and_apply():
-        # The platform answers the next write and is then unavailable.
+        # The platform answers the next write of the manifest and is then
+        # unavailable.
         await fleet.set_faults(fleet.plan.kv_port, down_after_manifest=1)
         return await asyncio.to_thread(_apply, context, 'pikselis', folder)
 
--- a/tests/features/steps/grace_time.py
+++ b/tests/features/steps/grace_time.py
@@ -1,4 +1,4 @@
-"""Steps of the time in which a planned stop has to end."""
+"""Steps of the grace time within which a shutdown has to end."""
 
 import asyncio
 from types import SimpleNamespace
@@ -13,26 +13,26 @@
 _GRACE_S = 8.0
 
 
-async def _stop(suspended_ms: int, after_ms: int) -> SimpleNamespace:
+async def _shut_down(suspended_ms: int, after_ms: int) -> SimpleNamespace:
     loop = asyncio.get_running_loop()
-    began_ms = loop.get_ms()
+    start_ms = loop.get_ms()
 
     def read_boottime_ms() -> float:
-        has_slept = loop.get_ms() >= began_ms + after_ms
-        return loop.get_ms() + (suspended_ms if has_slept else 0)
+        is_resumed = loop.get_ms() >= start_ms + after_ms
+        return loop.get_ms() + (suspended_ms if is_resumed else 0)
 
-    found = SimpleNamespace(given_up=None)
+    result = SimpleNamespace(is_aborted=None)
     with override_clocks(loop.get_ms, read_boottime_ms):
         role = GatewayRole(settings=make_settings(grace_s=_GRACE_S))
         serving = asyncio.ensure_future(_serve(role))
         await asyncio.sleep(0)
-        asked_ms = get_boottime_ms()
+        requested_ms = get_boottime_ms()
         role.begin_shutdown()
         await role.stop()
-        found.took_ms = get_boottime_ms() - asked_ms
-        found.given_up = serving.done() and serving.result() is None
+        result.elapsed_ms = get_boottime_ms() - requested_ms
+        result.is_aborted = serving.done() and serving.result() is None
         await role.close()
-    return found
+    return result
 
 
 async def _serve(role: GatewayRole) -> object:
@@ -44,11 +44,11 @@
     'a process that serves a request without end stops and is suspended '
     'for {suspended_ms:d} ms, {after_ms:d} ms after it was asked to',
 )
-def stop(context, suspended_ms, after_ms):
-    context.found = run_virtually(_stop(suspended_ms, after_ms))
+def shut_down(context, suspended_ms, after_ms):
+    context.found = run_virtually(_shut_down(suspended_ms, after_ms))
 
 
 @then('it has given the request up before its grace time was over')
-def check_given_up(context):
-    assert context.found.given_up
-    assert context.found.took_ms < _GRACE_S * 1000, context.found.took_ms
+def check_aborted_in_time(context):
+    assert context.found.is_aborted
+    assert context.found.elapsed_ms < _GRACE_S * 1000, context.found.elapsed_ms
--- a/tests/features/steps/graceful_stop.py
+++ b/tests/features/steps/graceful_stop.py
@@ -1,4 +1,4 @@
-"""Steps of planned stops."""
+"""Steps of graceful shutdowns."""
 
 import asyncio
 import time
@@ -7,12 +7,12 @@
 
 from tests.fixtures.load import start_load, stop_load
 
-_QUIET_CALLS = 60
-_LIMIT_S = 60
+_SAMPLE_CALLS = 60
+_TIMEOUT_S = 60
 
 
 @given('steady load')
-def load(context):
+def start_steady_load(context):
     start_load(context)
 
 
@@ -21,9 +21,9 @@
     stage = context.stage
 
     async def restart_all():
-        for one in stage.fleet.plan.get_pool(pool):
-            code = await stage.fleet.restart(one.name)
-            assert code == 0, (one.name, code)
+        for instance in stage.fleet.plan.get_pool(pool):
+            code = await stage.fleet.restart(instance.name)
+            assert code == 0, (instance.name, code)
             await stage.fleet.wait_ready()
         await asyncio.sleep(1)
 
@@ -31,14 +31,14 @@
 
 
 @then('no request was cut or unknown')
-def check_uncut(context):
+def check_no_interruption(context):
     sent = stop_load(context)
-    bad = [
-        one
-        for one in sent
-        if {'cut', 'unknown', 'unreached'} & set(one.outcomes)
+    interrupted = [
+        request
+        for request in sent
+        if {'cut', 'unknown', 'unreached'} & set(request.outcomes)
     ]
-    assert not bad, bad
+    assert not interrupted, interrupted
 
 
 @when('{name} is listed as {state}')
@@ -47,31 +47,35 @@
     context.stage.run(context.stage.fleet.set_listed(name, state=state))
 
 
-async def _watch_calls(context):
-    """Yield how many calls the instance and the others got of late."""
+async def _sample_calls(context):
+    """
+    Yield how many calls the listed instance got in each sample.
+
+    A sample ends once its pool has got more than `_SAMPLE_CALLS` calls.
+    """
     fleet = context.stage.fleet
     pool = context.listed.rsplit('-', 1)[0]
-    known = {}
-    end = time.monotonic() + _LIMIT_S
-    while time.monotonic() < end:
+    previous = {}
+    deadline = time.monotonic() + _TIMEOUT_S
+    while time.monotonic() < deadline:
         calls = {}
-        for one in fleet.plan.get_pool(pool):
-            counted = await fleet.get_json(one.upstream_port, '/calls')
-            calls[one.name] = counted['calls']
+        for instance in fleet.plan.get_pool(pool):
+            counter = await fleet.get_json(instance.upstream_port, '/calls')
+            calls[instance.name] = counter['calls']
         if (
-            not known
-            or sum(calls.values()) - sum(known.values()) > _QUIET_CALLS
+            not previous
+            or sum(calls.values()) - sum(previous.values()) > _SAMPLE_CALLS
         ):
-            if known:
-                yield calls[context.listed] - known[context.listed]
-            known = calls
+            if previous:
+                yield calls[context.listed] - previous[context.listed]
+            previous = calls
         await asyncio.sleep(0.1)
 
 
 @then('it soon gets no more calls while others do')
-def check_avoided(context):
+def check_gets_no_calls(context):
     async def wait():
-        async for calls in _watch_calls(context):
+        async for calls in _sample_calls(context):
             if not calls:
                 return True
         return False
@@ -80,9 +84,9 @@
 
 
 @then('it soon gets calls again')
-def check_used(context):
+def check_gets_calls(context):
     async def wait():
-        async for calls in _watch_calls(context):
+        async for calls in _sample_calls(context):
             if calls:
                 return True
         return False
--- a/tests/features/steps/hedging.py
+++ b/tests/features/steps/hedging.py
@@ -24,19 +24,19 @@
 
 
 class FakePools:
-    """Offer two instances, one after the other, and one hedge."""
+    """Return the named instances in turn and allow one hedge."""
 
     def __init__(self, *names: str) -> None:
-        self.looks = 0
-        self._left = [self._make(name) for name in names]
+        self.choose_count = 0
+        self._remaining = [self._make(name) for name in names]
         self._budget = RetryBudget(ratio=0, burst=1)
 
     def get_budget(self, _pool):
         return self._budget
 
     def choose(self, _pool, _model, _wish):
-        self.looks += 1
-        return self._left.pop(0) if self._left else None
+        self.choose_count += 1
+        return self._remaining.pop(0) if self._remaining else None
 
     def _make(self, name):
         return PeerState(
@@ -50,7 +50,7 @@
 
 
 class FakeCaller:
-    """Lose the first attempt after a while, refuse the second later."""
+    """Lose the first attempt after 0.1 s, refuse the second after 0.3 s."""
 
     async def call(self, peer, call, _emit, _timeout_ms):
         name = peer.instance.instance
@@ -65,12 +65,12 @@
 
 
 @given('a first attempt that is lost and a hedge that is refused later')
-def make_pair(context):
+def make_lost_and_refused_attempts(context):
     _make_runner(context, FakePools('first', 'second'))
 
 
 @given('a pool without instances')
-def make_empty(context):
+def make_empty_pool(context):
     _make_runner(context, FakePools())
 
 
@@ -113,10 +113,10 @@
 @then('the outcome of the request is {outcome}')
 def check_outcome(context, outcome):
     assert context.last.outcome is Outcome.not_run, context.last
-    found = context.work.effects.get_outcome(context.last.outcome)
-    assert found == outcome, found
+    outcome_found = context.work.effects.get_outcome(context.last.outcome)
+    assert outcome_found == outcome, outcome_found
 
 
 @then('no instance was looked for again and again')
-def check_looks(context):
-    assert context.pools.looks < 10, context.pools.looks
+def check_choose_count(context):
+    assert context.pools.choose_count < 10, context.pools.choose_count
--- a/tests/features/steps/hop.py
+++ b/tests/features/steps/hop.py
@@ -1,4 +1,4 @@
-"""Steps of a single hop."""
+"""Steps of a single call from an entry to a sidecar."""
 
 import asyncio
 import random
@@ -18,7 +18,7 @@
 from ragworthollow_daemon.entry.stage_caller import StageCaller
 
 _TIMEOUT_MS = 800
-_PATIENCE_MS = 10_000
+_TEST_TIMEOUT_MS = 10_000
 _CALL = StageCall(
     request_id='request',
     stage='record',
@@ -39,7 +39,7 @@
 )
 
 
-def _render(body: bytes, status: str = '200 OK') -> bytes:
+def _render_response(body: bytes, status: str = '200 OK') -> bytes:
     head = (
         f'HTTP/1.1 {status}\r\nContent-Type: application/json\r\n'
         f'Content-Length: {len(body)}\r\n\r\n'
@@ -49,10 +49,11 @@
 
 def _render_answer(**changes) -> bytes:
     answer = msgspec.structs.replace(_ANSWER, **changes)
-    return _render(msgspec.json.encode(answer))
+    return _render_response(msgspec.json.encode(answer))
 
 
-# How far the sidecar reads, and what it sends after the body.
+# How far the sidecar reads the request, and what it sends before it closes the
+# connection. After an empty reply it waits until the caller closes.
 _BEHAVIOURS = {
     'closes at once': ('nothing', None),
     'closes after the head': ('head', None),
@@ -60,7 +61,7 @@
     'closes after the body': ('body', None),
     'is silent after the body': ('body', b''),
     'closes in the middle of the answer': ('body', _render_answer()[:-10]),
-    'answers something else than JSON': ('body', _render(b'<html>')),
+    'answers something else than JSON': ('body', _render_response(b'<html>')),
     'answers another request': (
         'body',
         _render_answer(request_id='other'),
@@ -69,7 +70,7 @@
     'answers an earlier stage': ('body', _render_answer(stage='draft')),
     'answers status 500': (
         'body',
-        _render(b'{}', '500 Internal Server Error'),
+        _render_response(b'{}', '500 Internal Server Error'),
     ),
     'answers whole': ('body', _render_answer()),
 }
@@ -77,19 +78,19 @@
 
 @given('a sidecar that {does}')
 def choose_behaviour(context, does):
-    context.does = does
+    context.behaviour = does
 
 
 @when('an entry sends it a {kind} call')
-def call(context, kind):
-    context.answer = asyncio.run(_exchange(context.does, kind))
+def call_sidecar(context, kind):
+    context.answer = asyncio.run(_call_sidecar(context.behaviour, kind))
 
 
-async def _exchange(does: str, kind: str) -> StageAnswer:
-    port = Ports(rng=random.Random(does)).take()
+async def _call_sidecar(behaviour: str, kind: str) -> StageAnswer:
+    port = Ports(rng=random.Random(behaviour)).take()
     server = None
     serving = []
-    reads, reply = _BEHAVIOURS.get(does, ('', None))
+    reads, reply = _BEHAVIOURS.get(behaviour, ('', None))
     if reads:
         server = await asyncio.start_server(
             lambda reader, writer: serving.append(
@@ -111,14 +112,15 @@
         ),
     )
     once = OnceKey(key='key', born_ms=0) if kind == 'non-repeatable' else None
-    # A frozen sidecar is given up long before the time of the call is over.
+    # The attempt on a frozen sidecar has to end long before the timeout of the
+    # call.
     is_frozen = reads == 'head' and reply == b''
-    async with asyncio.timeout(_PATIENCE_MS / 1000):
+    async with asyncio.timeout(_TEST_TIMEOUT_MS / 1000):
         answer = await caller.call(
             peer,
             msgspec.structs.replace(_CALL, once=once),
-            _ignore,
-            3 * _PATIENCE_MS if is_frozen else _TIMEOUT_MS,
+            _discard_token,
+            3 * _TEST_TIMEOUT_MS if is_frozen else _TIMEOUT_MS,
         )
     await session.close()
     if server is not None:
@@ -127,28 +129,28 @@
     return answer
 
 
-async def _ignore(_line):
-    """Take a token."""
+async def _discard_token(_line):
+    """Discard a streamed token."""
 
 
 async def _serve(reader, writer, reads: str, reply: bytes | None) -> None:
     if reads != 'nothing':
-        head = await reader.readuntil(b'\r\n\r\n')
+        request_head = await reader.readuntil(b'\r\n\r\n')
         if reads == 'body':
-            if b'100-continue' in head.lower():
+            if b'100-continue' in request_head.lower():
                 writer.write(b'HTTP/1.1 100 Continue\r\n\r\n')
             await reader.readuntil(b'}')
     if reply is not None:
         writer.write(reply)
         await writer.drain()
     if reply == b'':
-        # The caller gives up and closes the connection.
+        # The caller aborts the attempt and closes the connection.
         await reader.read()
     writer.close()
 
 
 @then('the attempt ended as {outcome} for {reason}')
-def check_end(context, outcome, reason):
+def check_outcome(context, outcome, reason):
     answer = context.answer
     assert answer.outcome == outcome, answer
     if reason == 'nothing':
--- a/tests/features/steps/losses.py
+++ b/tests/features/steps/losses.py
@@ -1,4 +1,4 @@
-"""Steps of the losses that logs tell."""
+"""Steps of `ragworthctl losses`, which reports lost requests from logs."""
 
 import subprocess
 import sys
@@ -8,18 +8,18 @@
 from behave import given, then, when
 
 _COMMAND = Path(sys.executable).parent / 'ragworthctl'
-_NOTHING_FOUND = 1
+_EXIT_NOTHING_FOUND = 1
 
 
-def _render(**fields) -> str:
-    line = {'time_ms': 1_700_000_000_000.0, 'pool': 'pool', **fields}
-    return msgspec.json.encode(line).decode()
+def _render_line(**fields) -> str:
+    record = {'time_ms': 1_700_000_000_000.0, 'pool': 'pool', **fields}
+    return msgspec.json.encode(record).decode()
 
 
 @given('log lines of these ends of requests')
-def write_ends(context):
-    context.log = [
-        _render(
+def write_request_ends(context):
+    context.log_lines = [
+        _render_line(
             event=row['event'],
             request_id=row['request'],
             route='r',
@@ -35,44 +35,44 @@
 @given('log lines of calls of 4, 2 and 3 pieces, the first one full')
 def write_calls(context):
     limits = {4: 'full', 2: 'queue', 3: 'queue'}
-    context.log = [
-        _render(event='pieces_done', pieces=pieces, limit=limit, queued=1)
+    context.log_lines = [
+        _render_line(event='pieces_done', pieces=pieces, limit=limit, queued=1)
         for pieces, limit in limits.items()
     ]
 
 
 @given('log lines of an answer 20 ms late and one 300 ms in time')
 def write_answers(context):
-    context.log = []
+    context.log_lines = []
     for name, late_ms in (('a', 20), ('b', -300)):
-        context.log += [
-            _render(event='answered', request_id=name, late_ms=late_ms),
-            _render(event='request_ended', request_id=name, status=200),
+        context.log_lines += [
+            _render_line(event='answered', request_id=name, late_ms=late_ms),
+            _render_line(event='request_ended', request_id=name, status=200),
         ]
 
 
 @then('{late:d} was late')
 def check_late(context, late):
-    first = context.shown.stdout.splitlines()[0]
-    assert f', {late} late' in first, first
+    summary_line = context.completed.stdout.splitlines()[0]
+    assert f', {late} late' in summary_line, summary_line
 
 
 @given('a log line behind a time and a name, and lines that are no JSON')
-def write_noise(context):
-    served = _render(event='request_ended', request_id='a', status=200)
-    context.log = [f'12.5 gateway-1 {served}', 'Traceback', '{broken', '{}']
+def write_mixed_lines(context):
+    line = _render_line(event='request_ended', request_id='a', status=200)
+    context.log_lines = [f'12.5 gateway-1 {line}', 'Traceback', '{broken', '{}']
 
 
 @given('a log without lines of a gateway')
-def write_nothing(context):
-    context.log = ['Traceback']
+def write_no_gateway_lines(context):
+    context.log_lines = ['Traceback']
 
 
 @when('an operator asks for the losses')
-def ask(context):
-    context.shown = subprocess.run(
+def run_losses(context):
+    context.completed = subprocess.run(
         [_COMMAND, 'losses'],
-        input='\n'.join(context.log),
+        input='\n'.join(context.log_lines),
         capture_output=True,
         text=True,
         check=False,
@@ -80,14 +80,16 @@
 
 
 @then('{lost:d} of {owed:d} requests were not served')
-def check_total(context, lost, owed):
-    first = context.shown.stdout.splitlines()[0]
-    assert first.startswith(f'{owed} requests, {lost} not served'), first
+def check_totals(context, lost, owed):
+    summary_line = context.completed.stdout.splitlines()[0]
+    assert summary_line.startswith(f'{owed} requests, {lost} not served'), (
+        summary_line
+    )
 
 
 @then('the losses are')
-def check_causes(context):
-    rows = context.shown.stdout.split('\n\n')[1].splitlines()[1:]
+def check_loss_causes(context):
+    rows = context.completed.stdout.split('\n\n')[1].splitlines()[1:]
     found = {
         (row[:24].strip(), row[24:48].strip(), row.split()[-2]) for row in rows
     }
@@ -101,7 +103,7 @@
 def check_pool(context, calls, mean, full):
     (row,) = (
         line
-        for line in context.shown.stdout.splitlines()
+        for line in context.completed.stdout.splitlines()
         if line.startswith('pool ') and 'full' in line
     )
     assert row.split()[1:3] == [str(calls), mean], row
@@ -110,5 +112,5 @@
 
 @then('the command fails and says so')
 def check_failure(context):
-    assert context.shown.returncode == _NOTHING_FOUND
-    assert 'no line of a gateway' in context.shown.stderr
+    assert context.completed.returncode == _EXIT_NOTHING_FOUND
+    assert 'no line of a gateway' in context.completed.stderr
--- a/tests/features/steps/once_ownership.py
+++ b/tests/features/steps/once_ownership.py
@@ -15,13 +15,13 @@
 
 
 @given('the protocol without {guard}')
-def leave_guard_out(context, guard):
+def disable_guard(context, guard):
     context.guards = {guard: False}
 
 
 @when('{count:d} random orders of events are explored')
-def explore(context, count):
-    context.doubled = []
+def explore_event_orders(context, count):
+    context.repeated_keys = []
     try:
         run_state_machine_as_test(
             make_machine(**context.guards),
@@ -36,22 +36,22 @@
             ),
         )
     except AssertionError as error:
-        context.doubled = [str(error)]
+        context.repeated_keys = [str(error)]
 
 
 @when('an owner loses the platform for long')
-def cut_owner(context):
+def disconnect_owner(context):
     model = Model(**context.guards)
     model.sidecars[0].cut = True
     for _ in range(20):
         model.run_for(500)
         model.now_ms += 300
-        _ask_keys(model, skew_ms=1900)
-    context.doubled = model.get_doubled()
+        _send_new_keys(model, skew_ms=1900)
+    context.repeated_keys = model.get_doubled()
 
 
 @when('a peer restarts while an owner is cut')
-def restart_peer(context):
+def restart_peer_of_disconnected_owner(context):
     model = Model(**context.guards)
     model.sidecars[0].cut = True
     model.run_for(4000)
@@ -59,19 +59,19 @@
     for _ in range(4):
         model.step(2)
     model.now_ms += 1000
-    _ask_keys(model, skew_ms=1900)
-    context.doubled = model.get_doubled()
+    _send_new_keys(model, skew_ms=1900)
+    context.repeated_keys = model.get_doubled()
 
 
 @when('the owner of a key is killed')
 def kill_owner(context):
     model = Model(**context.guards)
-    _ask_keys(model, skew_ms=0)
+    _send_new_keys(model, skew_ms=0)
     model.sidecars[1].restart()
     model.run_for(6000)
     for key in model.births:
         model.ask_everywhere(key)
-    context.doubled = model.get_doubled()
+    context.repeated_keys = model.get_doubled()
 
 
 @when('an owner freezes between its decision and the hand-over')
@@ -85,19 +85,19 @@
     )
     model.sidecars[owner].paused = True
     model.run_for(12_000)
-    late = model.handed.pop()
+    delayed_call = model.handed.pop()
     model.ask_everywhere('key')
     model.sidecars[owner].paused = False
-    model.handed.append(late)
+    model.handed.append(delayed_call)
     model.hand_over()
     model.run_for(6000)
     model.ask_everywhere('key')
-    context.doubled = model.get_doubled()
+    context.repeated_keys = model.get_doubled()
     assert model.effects == {'key': 1}, model.effects
 
 
 @given('an owner whose hand-over is still on its way')
-def delay_move(context):
+def delay_handover(context):
     model = Model()
     model.sidecars[2].paused = True
     model.run_for(12_000)
@@ -105,46 +105,57 @@
     for _ in range(3):
         model.step(2)
     context.model = model
-    context.owner = next(index for index in range(3) if _try_move(model, index))
+    context.owner = next(
+        index for index in range(3) if _start_move(model, index)
+    )
+
 
+def _start_move(model, index):
+    """
+    Run one step of a sidecar, with its write held back as if in transit.
 
-def _try_move(model, index):
-    """Let a peer rejoin and catch the owner's answer to its next move."""
+    Returns whether the sidecar has begun to move ranges to the peer that has
+    rejoined.
+    """
     model.step(index, delayed=True)
     return bool(model.late and model.sidecars[index].ownership.moving)
 
 
 @when('the owner is asked for keys of these ranges')
-def ask_moving(context):
+def send_moving_keys(context):
     model = context.model
     moving = model.sidecars[context.owner].ownership.moving
-    context.standings = _ask_ranges(model, context.owner, moving)
+    context.ownership_statuses = _send_keys_of_ranges(
+        model, context.owner, moving
+    )
 
 
 @then('it refuses them until the record has changed')
 def check_refused(context):
-    assert set(context.standings) == {OwnershipStatus.not_owner}, (
-        context.standings
+    assert set(context.ownership_statuses) == {OwnershipStatus.not_owner}, (
+        context.ownership_statuses
     )
     model = context.model
-    one = model.sidecars[context.owner]
+    owner = model.sidecars[context.owner]
     model.deliver()
-    one.read(model.platform)
-    assert not one.ownership.moving
+    owner.read(model.platform)
+    assert not owner.ownership.moving
 
 
 @then('no key has run twice')
-def check_none(context):
-    assert not context.doubled, context.doubled
+def check_no_repeated_key(context):
+    assert not context.repeated_keys, context.repeated_keys
 
 
 @then('a key has run twice')
-def check_some(context):
-    assert context.doubled, 'the exploration is blind'
+def check_repeated_key(context):
+    assert context.repeated_keys, (
+        'the exploration did not find a key that ran twice'
+    )
 
 
 @given('members that know different records')
-def split_knowledge(context):
+def make_members_differ(context):
     model = Model()
     model.sidecars[2].paused = True
     model.run_for(12_000)
@@ -153,39 +164,39 @@
     for _ in range(3):
         model.step(2)
     context.model = model
-    epochs = {one.ownership.assignment.epoch for one in model.sidecars}
+    epochs = {sidecar.ownership.assignment.epoch for sidecar in model.sidecars}
     assert len(epochs) > 1, epochs
 
 
 @when('the platform is away for long')
-def cut_all(context):
-    for one in context.model.sidecars:
-        one.cut = True
+def disconnect_all(context):
+    for sidecar in context.model.sidecars:
+        sidecar.cut = True
     context.model.run_for(15_000)
 
 
 @then('each of them is still certain of its keys')
-def check_certain(context):
+def check_members_certain(context):
     model = context.model
-    for one in model.sidecars:
-        if one.ownership.owns_any():
-            assert one.ownership.is_certain(model.now_ms), one.name
+    for sidecar in model.sidecars:
+        if sidecar.ownership.owns_any():
+            assert sidecar.ownership.is_certain(model.now_ms), sidecar.name
 
 
-def _ask_keys(model, *, skew_ms):
+def _send_new_keys(model, *, skew_ms):
     for number in range(40):
         key = f'key-{model.now_ms}-{number}'
         model.births[key] = model.now_ms + skew_ms
         model.ask_everywhere(key)
 
 
-def _ask_ranges(model, index, moving):
-    standings = []
+def _send_keys_of_ranges(model, index, moving):
+    statuses = []
     number = 0
-    while len(standings) < 5:
+    while len(statuses) < 5:
         number += 1
         key = f'moving-{number}'
         model.births[key] = model.now_ms
         if get_range(key) in moving:
-            standings.append(model.send(index, key))
-    return standings
+            statuses.append(model.send(index, key))
+    return statuses
--- a/tests/features/steps/settings.py
+++ b/tests/features/steps/settings.py
@@ -9,7 +9,7 @@
 import yaml
 from behave import then, when
 
-_GOOD = {
+_VALID_SETTINGS = {
     'role': 'entry',
     'instance': 'entry-0',
     'failure_domain': 'hall-a',
@@ -20,13 +20,13 @@
     },
     'cluster_key': 'a-long-cluster-key-of-a-test',
 }
-_CHANGES = {
+_INVALID_FIELDS = {
     'an unknown field': {'dealine_ms': 5},
     'a wrong unit': {'lease_ttl_ms': '5 s'},
     'no address': {'listen': None},
     'a sidecar without upstream': {'role': 'sidecar'},
     'a platform without a scheme': {
-        'platform': {**_GOOD['platform'], 'kv_url': '127.0.0.1:1'},
+        'platform': {**_VALID_SETTINGS['platform'], 'kv_url': '127.0.0.1:1'},
     },
     'a short cluster key': {'cluster_key': 'short'},
     'a very short lease': {'lease_ttl_ms': 10},
@@ -35,19 +35,23 @@
 
 
 @when('ragworthd is started with {what}')
-def start(context, what):
-    with tempfile.TemporaryDirectory() as folder, socket.socket() as taken:
-        taken.bind(('127.0.0.1', 0))
-        taken.listen()
+def start_daemon(context, what):
+    with tempfile.TemporaryDirectory() as folder, socket.socket() as listener:
+        listener.bind(('127.0.0.1', 0))
+        listener.listen()
         path = Path(folder) / 'settings.yaml'
         if what == 'text that is not YAML':
             path.write_text('role: [')
         elif what == 'a port in use':
-            host, port = taken.getsockname()
+            host, port = listener.getsockname()
             listen = {'host': host, 'port': port}
-            path.write_text(yaml.safe_dump({**_GOOD, 'listen': listen}))
+            path.write_text(
+                yaml.safe_dump({**_VALID_SETTINGS, 'listen': listen})
+            )
         elif what != 'a file that does not exist':
-            path.write_text(yaml.safe_dump({**_GOOD, **_CHANGES[what]}))
+            path.write_text(
+                yaml.safe_dump({**_VALID_SETTINGS, **_INVALID_FIELDS[what]})
+            )
         daemon = Path(sys.executable).parent / 'ragworthd'
         context.done = subprocess.run(
             [str(daemon), '--settings', str(path)],
@@ -59,10 +63,10 @@
 
 
 @then('it ends with exit code 2 and one line with {check_id} and {words}')
-def check_end(context, check_id, words):
-    done = context.done
-    assert done.returncode == 2, done
-    lines = done.stderr.strip().splitlines()
+def check_exit(context, check_id, words):
+    completed = context.done
+    assert completed.returncode == 2, completed
+    lines = completed.stderr.strip().splitlines()
     assert len(lines) == 1, lines
     assert check_id in lines[0] and words in lines[0], lines
     assert 'HINT' in lines[0], lines
--- a/tests/features/steps/soak.py
+++ b/tests/features/steps/soak.py
@@ -1,4 +1,4 @@
-"""Steps of the randomised run."""
+"""Steps of the soak test, which injects random faults."""
 
 import asyncio
 
@@ -10,18 +10,18 @@
 @when(
     '{deployment} is broken at random from seed {seed:d} for {span:d} seconds'
 )
-def run(context, deployment, seed, span):
+def run_with_random_faults(context, deployment, seed, span):
     context.summary = asyncio.run(run_soak(deployment, seed, span))
 
 
-def _check(context, *names):
-    found = {name: context.summary[name] for name in names}
-    assert not any(found.values()), context.summary
+def _check_counts(context, *names):
+    counts = {name: context.summary[name] for name in names}
+    assert not any(counts.values()), context.summary
 
 
 @then('nothing was lost, doubled, crossed, falsely refused or cut by a stop')
-def check_requests(context):
-    _check(
+def check_request_counts(context):
+    _check_counts(
         context,
         'lost',
         'doubled',
@@ -33,5 +33,5 @@
 
 
 @then('nothing was reverted or violated')
-def check_state(context):
-    _check(context, 'reverted', 'violations')
+def check_state_counts(context):
+    _check_counts(context, 'reverted', 'violations')
