--- a/tests/features/steps/at_most_once.py
+++ b/tests/features/steps/at_most_once.py
@@ -211,7 +211,7 @@
 def wait_for_new_owner(context):
     deadline = time.monotonic() + _TIMEOUT_S
     while _find_owner(context) == context.frozen:
-        assert time.monotonic() < deadline, 'no instance took over the key'
+        assert time.monotonic() < deadline, 'nobody took over'
 
 
 @when('the frozen owner wakes up')
@@ -266,9 +266,7 @@
     """
     deadline = time.monotonic() + _TIMEOUT_S
     while not context.stage.run(_has_preferred_owners(context.stage.fleet)):
-        assert time.monotonic() < deadline, (
-            'a range is still not with its preferred owner'
-        )
+        assert time.monotonic() < deadline, 'ownership never settled'
         context.stage.run(asyncio.sleep(0.05))
 
 
@@ -296,11 +294,10 @@
     # slow calls keep the move in progress.
     slow_requests = [stage.callers.make(_PIPELINE) for _ in range(12)]
     sending = [
-        asyncio.ensure_future(stage.callers.send(request))
-        for request in slow_requests
+        asyncio.ensure_future(stage.callers.send(one)) for one in slow_requests
     ]
     fleet.processes.send(context.frozen, signal.SIGCONT)
-    names = {instance.name for instance in fleet.plan.get_pool(_POOL)}
+    names = {one.name for one in fleet.plan.get_pool(_POOL)}
     while {
         member.instance for member in (await _read_assignment(fleet)).members
     } != names:
--- a/tests/features/steps/configuration_fleet.py
+++ b/tests/features/steps/configuration_fleet.py
@@ -79,7 +79,7 @@
         return None
 
     generations = context.stage.run(wait())
-    assert generations, 'a process did not reach the generation in time'
+    assert generations, 'a process stays behind'
 
 
 @when('pikselis and storefronts apply a change at the same time')
@@ -337,14 +337,11 @@
     async def wait():
         deadline = time.monotonic() + _TIMEOUT_S
         while time.monotonic() < deadline:
-            model_lists = [
+            engines = [
                 await fleet.get_json(engine.upstream_port, '/v1/models')
                 for engine in fleet.plan.get_pool('lm-pool')
             ]
-            versions = {
-                model_list['models'].get('vision-7b')
-                for model_list in model_lists
-            }
+            versions = {engine['models'].get('vision-7b') for engine in engines}
             if versions == {'2027.01'}:
                 return True
             await asyncio.sleep(0.2)
--- a/tests/features/steps/once_ownership.py
+++ b/tests/features/steps/once_ownership.py
@@ -149,9 +149,7 @@
 
 @then('a key has run twice')
 def check_repeated_key(context):
-    assert context.repeated_keys, (
-        'the exploration did not find a key that ran twice'
-    )
+    assert context.repeated_keys, 'the exploration is blind'
 
 
 @given('members that know different records')
