--- a/tests/features/steps/admission.py
+++ b/tests/features/steps/admission.py
@@ -1,4 +1,4 @@
-"""Steps of admission."""
+"""Behave steps for the admission queue."""
 
 import heapq
 import random
@@ -20,8 +20,8 @@
 
 def _make_queue() -> AdmissionQueue:
     queue = AdmissionQueue(capacity=_CAPACITY, service_ms=_SERVICE_MS)
-    # The weights are far apart, so that only the guarantee can protect the
-    # lighter one.
+    # The weights differ ninefold, so that only the guarantee can protect the
+    # organisation with the smaller weight.
     queue.shares = {
         'one': CapacityShare(guarantee=0.5, weight=9),
         'two': CapacityShare(guarantee=0.5, weight=1),
@@ -30,40 +30,46 @@
 
 
 def _simulate(queue, rates, span_ms, start_ms=0):
-    """Let organisations send at their rates; return who got how much."""
+    """Simulate organisations whose calls arrive at random intervals.
+
+    Returns
+    -------
+    The number of calls sent, the number of calls finished, and the service
+    time of all started calls in ms, each by organisation.
+    """
     rng = random.Random(1)
     events = []
-    for name, per_second in rates.items():
-        moment = float(start_ms)
-        while per_second and moment < start_ms + span_ms:
-            moment += rng.expovariate(per_second / 1000)
-            heapq.heappush(events, (moment, rng.random(), 'come', name))
-    sent, done, busy = Counter(), Counter(), Counter()
+    for name, calls_per_s in rates.items():
+        time_ms = float(start_ms)
+        while calls_per_s and time_ms < start_ms + span_ms:
+            time_ms += rng.expovariate(calls_per_s / 1000)
+            heapq.heappush(events, (time_ms, rng.random(), 'come', name))
+    sent, finished, busy_ms = Counter(), Counter(), Counter()
     number = 0
     while events:
-        moment, _, what, payload = heapq.heappop(events)
-        if what == 'come':
+        time_ms, _, event, subject = heapq.heappop(events)
+        if event == 'come':
             number += 1
-            sent[payload] += 1
+            sent[subject] += 1
             ticket = Ticket(
                 ticket_id=number,
-                organisation=payload,
-                deadline_ms=moment + _DEADLINE_MS,
+                organisation=subject,
+                deadline_ms=time_ms + _DEADLINE_MS,
                 cost_ms=_SERVICE_MS,
             )
-            queue.enqueue(ticket, moment)
+            queue.enqueue(ticket, time_ms)
         else:
-            queue.release(payload, _SERVICE_MS, moment)
-            done[payload.organisation] += 1
-        for ticket in queue.dispatch(moment).started:
-            busy[ticket.organisation] += _SERVICE_MS
-            end = moment + _SERVICE_MS
-            heapq.heappush(events, (end, rng.random(), 'end', ticket))
-    return sent, done, busy
+            queue.release(subject, _SERVICE_MS, time_ms)
+            finished[subject.organisation] += 1
+        for ticket in queue.dispatch(time_ms).started:
+            busy_ms[ticket.organisation] += _SERVICE_MS
+            end_ms = time_ms + _SERVICE_MS
+            heapq.heappush(events, (end_ms, rng.random(), 'end', ticket))
+    return sent, finished, busy_ms
 
 
 @when('any calls arrive and end in any order')
-def run_any(context):
+def run_calls_in_any_order(context):
     call = st.tuples(
         st.sampled_from('abc'),
         st.integers(0, 400),
@@ -111,12 +117,12 @@
 
 
 @then('none is lost, none runs twice and no slot is overbooked')
-def check_books(context):
+def check_invariants(context):
     assert context.checked
 
 
 @given('two organisations of equal guarantee')
-def make_two(context):
+def make_two_organisations(context):
     context.queue = _make_queue()
 
 
@@ -124,7 +130,7 @@
 
 
 @when('one sends ten times its share and the other half of its share')
-def overload(context):
+def overload_queue(context):
     context.sent, context.done, _ = _simulate(
         context.queue,
         {'one': 5 * _FULL_RATE, 'two': 0.25 * _FULL_RATE},
@@ -133,24 +139,24 @@
 
 
 @then('the other loses less than 2 in 100 of its calls')
-def check_unhurt(context):
+def check_few_lost(context):
     share = context.done['two'] / context.sent['two']
     assert share > 0.98, share
 
 
 @when('one sends twice its share while the other is idle')
-def lend(context):
-    busy = _simulate(context.queue, {'one': 1.2 * _FULL_RATE}, 5000)[-1]
-    context.share = busy['one'] / (5000 * _CAPACITY)
+def send_from_single_organisation(context):
+    busy_ms = _simulate(context.queue, {'one': 1.2 * _FULL_RATE}, 5000)[-1]
+    context.share = busy_ms['one'] / (5000 * _CAPACITY)
 
 
 @then('it uses more than nine tenths of the upstream')
-def check_lent(context):
+def check_spare_capacity_used(context):
     assert context.share > 0.9, context.share
 
 
 @when('the other comes back with its full share')
-def take_back(context):
+def send_from_both_organisations(context):
     context.busy = _simulate(
         context.queue,
         {'one': 1.2 * _FULL_RATE, 'two': 0.5 * _FULL_RATE},
@@ -160,13 +166,13 @@
 
 
 @then('the other gets its share within a second')
-def check_taken_back(context):
+def check_share_regained(context):
     share = context.busy['two'] / (1000 * _CAPACITY)
     assert share > 0.45, share
 
 
 @given('a full queue of calls of little worth')
-def fill(context):
+def fill_queue(context):
     context.queue = AdmissionQueue(capacity=1, service_ms=100)
     for number in range(5):
         ticket = Ticket(
@@ -179,7 +185,7 @@
     context.queue.dispatch(0)
 
 
-def _offer(context, *, deadline_ms, worth):
+def _enqueue(context, *, deadline_ms, worth):
     ticket = Ticket(
         ticket_id=99,
         organisation='two',
@@ -191,36 +197,36 @@
 
 
 @when('a call of great worth arrives that would come too late')
-def offer_worthy(context):
-    context.offered = _offer(context, deadline_ms=380, worth=10)
+def enqueue_worthy(context):
+    context.enqueued = _enqueue(context, deadline_ms=380, worth=10)
 
 
 @then('calls of little worth make room for it')
 def check_evicted(context):
-    assert isinstance(context.offered, Ok), context.offered
-    assert context.offered.ok_value.evicted
+    assert isinstance(context.enqueued, Ok), context.enqueued
+    assert context.enqueued.ok_value.evicted
 
 
 @given('a queue of calls of little worth, all within their guarantee')
-def fill_guaranteed(context):
-    fill(context)
+def fill_queue_within_guarantee(context):
+    fill_queue(context)
     context.queue.shares = {'one': CapacityShare(guarantee=1)}
 
 
 @then('none of them has to go')
-def check_kept(context):
+def check_none_evicted(context):
     waiting = context.queue.waiting
-    assert context.offered.is_err(), context.offered
+    assert context.enqueued.is_err(), context.enqueued
     assert waiting == 4, waiting
 
 
 @when('a call arrives whose deadline is closer than the wait')
-def offer_late(context):
-    context.offered = _offer(context, deadline_ms=300, worth=1)
+def enqueue_late(context):
+    context.enqueued = _enqueue(context, deadline_ms=300, worth=1)
 
 
 @then('it is refused as overloaded and told when to come back')
 def check_overloaded(context):
-    rejection = context.offered.err_value
+    rejection = context.enqueued.err_value
     assert rejection.reason == 'overloaded', rejection
     assert get_retry_after_ms(rejection.wait_ms) > 0
--- a/tests/features/steps/caller_limits.py
+++ b/tests/features/steps/caller_limits.py
@@ -1,4 +1,4 @@
-"""Steps of callers that take their time."""
+"""Behave steps for the time limits of slow and idle callers."""
 
 import asyncio
 
@@ -16,17 +16,17 @@
     'Content-Length: 4\r\n\r\n'
 ).encode()
 _BODY = b'body'
-_PARTS = {
+_SENT_BYTES = {
     'sends half of a head': _HEAD[:40],
     'sends half of a body': _HEAD + _BODY[:2],
     'opens a connection and is idle': b'',
     'is idle after an answer': _HEAD + _BODY,
 }
-_WAIT_S = 20
+_TIMEOUT_S = 20
 
 
 @given('a configuration whose limits of time are {limit_ms:d} ms')
-def limit_callers(context, limit_ms):
+def set_time_limits(context, limit_ms):
     stage = context.gateway_stage
     limits = {
         'max_header_bytes': 16384,
@@ -39,7 +39,7 @@
     context.old_limit_ms = limit_ms
 
 
-async def _open(stage):
+async def _open_connection(stage):
     address = stage.get_context().settings.front_address
     return await asyncio.open_connection(HOST, int(address.split(':')[1]))
 
@@ -55,35 +55,35 @@
 
 
 @when('a caller is idle after an answer')
-def idle_after_answer(context):
+def idle_after_response(context):
     _send_part(context, 'is idle after an answer')
 
 
-def _send_part(context, does):
+def _send_part(context, action):
     context.received = context.gateway_stage.run(
-        _send_and_read(context.gateway_stage, does),
+        _send_and_read(context.gateway_stage, action),
     )
 
 
-async def _send_and_read(stage, does) -> bytes:
-    reader, writer = await _open(stage)
-    writer.write(_PARTS[does])
-    if does == 'is idle after an answer':
-        await asyncio.wait_for(_read_answer(reader), _WAIT_S)
-    # Reads up to the end of the connection, which is the gateway's to make.
-    received = await asyncio.wait_for(reader.read(), _WAIT_S)
+async def _send_and_read(stage, action) -> bytes:
+    reader, writer = await _open_connection(stage)
+    writer.write(_SENT_BYTES[action])
+    if action == 'is idle after an answer':
+        await asyncio.wait_for(_read_response(reader), _TIMEOUT_S)
+    # Reads until the gateway closes the connection.
+    received = await asyncio.wait_for(reader.read(), _TIMEOUT_S)
     writer.close()
     return received
 
 
-async def _read_answer(reader) -> bytes:
+async def _read_response(reader) -> bytes:
     head = await reader.readuntil(b'\r\n\r\n')
     assert head.startswith(b'HTTP/1.1 200 '), head
     return await reader.readexactly(len(b'whole answer'))
 
 
 @then('the gateway ends its connection with status {status}')
-def check_end(context, status):
+def check_connection_closed(context, status):
     if status == 'none':
         assert context.received == b'', context.received
         return
@@ -91,11 +91,11 @@
 
 
 @when('a caller has an answer and the limit then grows to {limit_ms:d} ms')
-def grow_limit(context, limit_ms):
+def raise_limit(context, limit_ms):
     stage = context.gateway_stage
-    context.reader, context.writer = stage.run(_open(stage))
+    context.reader, context.writer = stage.run(_open_connection(stage))
     context.writer.write(_HEAD + _BODY)
-    stage.run(asyncio.wait_for(_read_answer(context.reader), _WAIT_S))
+    stage.run(asyncio.wait_for(_read_response(context.reader), _TIMEOUT_S))
     stage.get_context().route_table.limits = RequestLimits(
         idle_timeout_ms=limit_ms
     )
@@ -106,5 +106,5 @@
     stage = context.gateway_stage
     stage.run(asyncio.sleep(2 * context.old_limit_ms / 1000))
     context.writer.write(_HEAD + _BODY)
-    stage.run(asyncio.wait_for(_read_answer(context.reader), _WAIT_S))
+    stage.run(asyncio.wait_for(_read_response(context.reader), _TIMEOUT_S))
     context.writer.close()
--- a/tests/features/steps/homes.py
+++ b/tests/features/steps/homes.py
@@ -1,4 +1,4 @@
-"""Steps of the regions in which requests may run."""
+"""Behave steps for the allowed regions of routes and organisations."""
 
 import asyncio
 
@@ -8,22 +8,22 @@
 from ragworthollow.upstreams import LoadTracker, UpstreamInstance
 from tests.fixtures.piece_pool import make_profile, make_waiting
 
-_REGIONS = {'one': 'east', 'two': 'west', 'three': 'north'}
-_NAMES = {'east': ('u1', 'u2'), 'west': ('u3',), 'north': ('u4',)}
-_AT_ONCE_S = 3
-_MOST_TRIES = 5
+_REGIONS_BY_DOMAIN = {'one': 'east', 'two': 'west', 'three': 'north'}
+_INSTANCES_BY_REGION = {'east': ('u1', 'u2'), 'west': ('u3',), 'north': ('u4',)}
+_MAX_REFUSAL_S = 3
+_MAX_TRIES = 5
 
 
-def _parse(text: str) -> list[str]:
+def _parse_regions(text: str) -> list[str]:
     if text == 'any region':
         return []
     return text.replace(' and ', ', ').split(', ')
 
 
 @given('failure domains one, two and three in regions east, west and north')
-def place_domains(context):
+def add_gateway_with_regions(context):
     stage = context.gateway_stage
-    stage.run(stage.add_gateway('g2', regions=_REGIONS))
+    stage.run(stage.add_gateway('g2', regions=_REGIONS_BY_DOMAIN))
     stage.run(stage.wait_configured('g2'))
 
 
@@ -37,16 +37,16 @@
 
 
 @given('the route allows {route} and the organisation {organisation}')
-def set_homes(context, route, organisation):
+def set_allowed_regions(context, route, organisation):
     stage = context.gateway_stage
     configuration = stage.configuration
     routes = [
-        {**one, 'allowed_regions': _parse(route)}
-        for one in configuration['routes']
+        {**entry, 'allowed_regions': _parse_regions(route)}
+        for entry in configuration['routes']
     ]
     tenants = [
-        {**one, 'allowed_regions': _parse(organisation)}
-        for one in configuration['tenants']
+        {**entry, 'allowed_regions': _parse_regions(organisation)}
+        for entry in configuration['tenants']
     ]
     stage.run(
         stage.configure(
@@ -59,7 +59,7 @@
 
 
 @when('{count:d} requests are sent to any of them')
-def send(context, count):
+def send_requests(context, count):
     stage = context.gateway_stage
 
     async def send_all() -> list:
@@ -67,20 +67,20 @@
             *(stage.send('/safe/answer', gateway='g2') for _ in range(count)),
         )
 
-    began_s = stage.loop.time()
+    start_s = stage.loop.time()
     context.answers = stage.run(send_all())
-    context.took_s = stage.loop.time() - began_s
+    context.took_s = stage.loop.time() - start_s
 
 
 @then('they ran in {regions} only')
 def check_regions(context, regions):
     upstreams = context.gateway_stage.upstreams
-    ran = {
+    used_regions = {
         region
-        for region, names in _NAMES.items()
+        for region, names in _INSTANCES_BY_REGION.items()
         if any(upstreams[name].runs for name in names)
     }
-    assert ran == set(_parse(regions)), ran
+    assert used_regions == set(_parse_regions(regions)), used_regions
     assert {answer.status for answer in context.answers} == {200}
 
 
@@ -89,7 +89,7 @@
     for answer in context.answers:
         assert answer.status == 503, answer
         assert 'Retry-After' in answer.headers, answer
-    assert context.took_s < _AT_ONCE_S, context.took_s
+    assert context.took_s < _MAX_REFUSAL_S, context.took_s
     assert not any(one.runs for one in context.gateway_stage.upstreams.values())
 
 
@@ -105,24 +105,24 @@
 
 
 @when('pieces at home in west wait for instances in east and west')
-def wait_at_home(context):
+def run_pieces_in_allowed_region(context):
     instances = [
         _make_instance(number, region)
         for region in ('east', 'west')
         for number in range(2)
     ]
-    gate = PieceScheduler()
+    scheduler = PieceScheduler()
     profile = make_profile(1)
-    context.makers = []
+    context.producers = []
     waiting = make_waiting(500, allowed_regions=frozenset(('west',)))
-    gate.submit(waiting)
-    for _ in range(_MOST_TRIES):
-        (call,) = gate.plan(profile, instances, LoadTracker(), 0)
-        context.makers.append(call.instance.instance)
-        gate.finish(call)
-        gate.resubmit(waiting, call.instance.instance, instances)
+    scheduler.submit(waiting)
+    for _ in range(_MAX_TRIES):
+        (call,) = scheduler.plan(profile, instances, LoadTracker(), 0)
+        context.producers.append(call.instance.instance)
+        scheduler.finish(call)
+        scheduler.resubmit(waiting, call.instance.instance, instances)
 
 
 @then('those in west make them, also after one of these has failed')
-def check_makers(context):
-    assert set(context.makers) == {'west-0', 'west-1'}, context.makers
+def check_producers(context):
+    assert set(context.producers) == {'west-0', 'west-1'}, context.producers
--- a/tests/features/steps/host_choice.py
+++ b/tests/features/steps/host_choice.py
@@ -1,4 +1,4 @@
-"""Steps of the choice of hosts by what they can carry."""
+"""Behave steps for the choice of hosts by their capacity."""
 
 import collections
 from unittest import mock
@@ -13,7 +13,7 @@
 from ragworthollow.transport.host_messages import HostState, MemberChange
 from ragworthollow.utils.hashing import get_rank
 
-_RANKED = 'ragworthollow.membership.gateway_members.get_rank'
+_GET_RANK = 'ragworthollow.membership.gateway_members.get_rank'
 
 
 def _make_member(name: str, cores: float, link_mbps: float) -> GatewayMember:
@@ -32,10 +32,13 @@
 )
 def make_fleet(context, small, cores, mbps, large, more_cores, more_mbps):
     context.listed = [
-        *(_make_member(f'small-{one}', cores, mbps) for one in range(small)),
         *(
-            _make_member(f'large-{one}', more_cores, more_mbps)
-            for one in range(large)
+            _make_member(f'small-{number}', cores, mbps)
+            for number in range(small)
+        ),
+        *(
+            _make_member(f'large-{number}', more_cores, more_mbps)
+            for number in range(large)
         ),
     ]
     context.members = _make_members(context, context.listed[0])
@@ -48,49 +51,49 @@
 
 
 @given('the large ones do not answer')
-def silence_large(context):
-    for one in context.listed:
-        if one.instance.startswith('large'):
-            context.members.mark_unresponsive(one.instance)
+def mark_large_unresponsive(context):
+    for member in context.listed:
+        if member.instance.startswith('large'):
+            context.members.mark_unresponsive(member.instance)
 
 
 @when('the hosts of {count:d} pools are chosen')
-def choose(context, count):
-    context.hosts = _choose(context.members, 'small-0', count)
+def choose_hosts(context, count):
+    context.hosts = _choose_hosts(context.members, 'small-0', count)
 
 
 @when('the hosts of {count:d} pools are chosen by each of them')
-def choose_by_each(context, count):
+def choose_hosts_by_each(context, count):
     context.chosen = [
-        _choose(_make_members(context, one), one.instance, count)
-        for one in context.listed
+        _choose_hosts(_make_members(context, member), member.instance, count)
+        for member in context.listed
     ]
 
 
-def _choose(members: GatewayMembers, own: str, count: int) -> list[str]:
-    found = [members.find_host(f'pool-{one}') for one in range(count)]
-    return [own if one is None else one.instance for one in found]
+def _choose_hosts(members: GatewayMembers, own: str, count: int) -> list[str]:
+    hosts = [members.find_host(f'pool-{number}') for number in range(count)]
+    return [own if host is None else host.instance for host in hosts]
 
 
 @then('each is a {kind:w} one, and no gateway hosts more than {most:d} of them')
 def check_hosts(context, kind, most):
-    assert all(one.startswith(kind) for one in context.hosts), context.hosts
+    assert all(name.startswith(kind) for name in context.hosts), context.hosts
     busiest = collections.Counter(context.hosts).most_common(1)
     assert busiest[0][1] <= most, busiest
 
 
 @then('all have chosen the same')
 def check_same(context):
-    assert all(one == context.chosen[0] for one in context.chosen)
+    assert all(hosts == context.chosen[0] for hosts in context.chosen)
 
 
 @when('the host of a pool is asked for {count:d} times')
-def ask_often(context, count):
-    with mock.patch(_RANKED, side_effect=get_rank) as ranked:
+def find_host_often(context, count):
+    with mock.patch(_GET_RANK, side_effect=get_rank) as rank_spy:
         for _ in range(count):
             context.members.find_host('pool')
             context.members.find_highest_ranked('pool')
-        context.ranked = ranked.call_count
+        context.ranked = rank_spy.call_count
 
 
 @then('each member was ranked once')
@@ -102,12 +105,12 @@
 def check_ranked_again(context):
     joined = _make_member('small-new', 0.4, 20)
     context.members.apply_change(MemberChange(member=joined), 0)
-    ask_often(context, 10)
+    find_host_often(context, 10)
     assert context.ranked == len(context.listed) + 1, context.ranked
 
 
 @when('a large one says at {now_ms:d} ms that it joins')
-def join(context, now_ms):
+def join_large_gateway(context, now_ms):
     context.joined = _make_member('large-new', 2.2, 200)
     context.members.apply_change(MemberChange(member=context.joined), now_ms)
 
@@ -124,8 +127,8 @@
     assert 'large-new' not in context.members.get_members()
 
 
-_POOLS = tuple(f'pool-{one}' for one in range(3))
-_FOUND_SILENT = {
+_POOLS = tuple(f'pool-{number}' for number in range(3))
+_UNRESPONSIVE_FILTERS = {
     'all the others': lambda own, other: True,
     'all but one of them': lambda own, other: other.instance != 'large-2',
     'those of its own kind': lambda own, other: own.capacity == other.capacity,
@@ -133,35 +136,41 @@
 
 
 @given('each gateway has found {what} silent, and they answer again')
-def find_silent(context, what):
+def mark_others_unresponsive(context, what):
     context.fleet = {
-        one.instance: _make_members(context, one) for one in context.listed
+        member.instance: _make_members(context, member)
+        for member in context.listed
     }
-    is_silent = _FOUND_SILENT[what]
+    is_unresponsive = _UNRESPONSIVE_FILTERS[what]
     for own in context.listed:
         members = context.fleet[own.instance]
         members.set_pools(_POOLS)
         for other in context.listed:
-            if other.instance != own.instance and is_silent(own, other):
+            if other.instance != own.instance and is_unresponsive(own, other):
                 members.mark_unresponsive(other.instance)
 
 
-def _ask_in_turn(fleet: dict[str, GatewayMembers], span_ms: int) -> None:
-    """Have each gateway ask for a while; those that stopped are gone."""
+def _ping_for(fleet: dict[str, GatewayMembers], span_ms: int) -> None:
+    """Have each gateway ping its targets for a time.
+
+    Gateways that are missing in `fleet` do not respond.
+    """
     for _ in range(span_ms // global_settings.HOST_PING_MS):
         for members in fleet.values():
-            for one in members.choose_ping_targets():
-                if one.instance in fleet:
-                    members.record_response(HostState(instance=one.instance))
+            for target in members.choose_ping_targets():
+                if target.instance in fleet:
+                    members.record_response(HostState(instance=target.instance))
                 else:
-                    members.mark_unresponsive(one.instance)
+                    members.mark_unresponsive(target.instance)
 
 
-def _choose_by_all(fleet: dict[str, GatewayMembers]) -> list[list[str]]:
+def _choose_hosts_by_all(fleet: dict[str, GatewayMembers]) -> list[list[str]]:
     chosen = []
     for name, members in fleet.items():
-        found = [members.find_host(pool) for pool in _POOLS]
-        chosen.append([name if one is None else one.instance for one in found])
+        hosts = [members.find_host(pool) for pool in _POOLS]
+        chosen.append(
+            [name if host is None else host.instance for host in hosts],
+        )
     return chosen
 
 
@@ -169,17 +178,17 @@
     'the hosts of {count:d} pools stop one after the other, '
     'each {pause_ms:d} ms later',
 )
-def stop_in_turn(context, count, pause_ms):
+def stop_hosts_in_turn(context, count, pause_ms):
     context.rounds = []
     for position in range(count):
-        _ask_in_turn(context.fleet, pause_ms)
-        _stop(context, _choose_by_all(context.fleet)[0][position])
-        context.rounds.append(_choose_by_all(context.fleet))
+        _ping_for(context.fleet, pause_ms)
+        _stop_gateway(context, _choose_hosts_by_all(context.fleet)[0][position])
+        context.rounds.append(_choose_hosts_by_all(context.fleet))
 
 
-def _stop(context, name: str) -> None:
+def _stop_gateway(context, name: str) -> None:
     context.fleet.pop(name)
-    (member,) = (one for one in context.listed if one.instance == name)
+    (member,) = (listed for listed in context.listed if listed.instance == name)
     leaving = msgspec.structs.replace(member, is_leaving=True)
     for members in context.fleet.values():
         members.apply_change(MemberChange(member=leaving), 0)
@@ -188,4 +197,4 @@
 @then('all gateways have chosen the same hosts after each stop')
 def check_same_hosts(context):
     for chosen in context.rounds:
-        assert all(one == chosen[0] for one in chosen), chosen
+        assert all(hosts == chosen[0] for hosts in chosen), chosen
--- a/tests/features/steps/overload.py
+++ b/tests/features/steps/overload.py
@@ -1,4 +1,4 @@
-"""Steps of admission under overload."""
+"""Behave steps for admission under overload."""
 
 import statistics
 
@@ -32,55 +32,56 @@
 _SEEDS = (1, 2, 3)
 _JOBS = 4
 _ROUTE = 'r'
-# What the door does by itself: nothing that it turns away is served later.
+# Isolates admission: without deferral, no refused request is served later.
 _NO_DEFERRAL = (
     Setting(name='CALLER_TIMEOUT_FACTOR', value=0),
     Setting(name='CALLER_TIMEOUT_MIN_MS', value=0),
 )
-# Admission as it was before: up to 100 ms late, for objectives of about 2 s.
+# Admits requests that are expected to be up to 100 ms late, for objectives of
+# about 2 s, as admission did before it had a margin.
 _NO_MARGIN = (Setting(name='ADMISSION_MARGIN', value=-0.05),)
 
 
-def _note_answers(count: int) -> FirstEventLatency:
-    answer_time = FirstEventLatency()
+def _record_responses(count: int) -> FirstEventLatency:
+    latency = FirstEventLatency()
     for number in range(count):
         tokens = 500 + 400 * (number % 20)
-        answer_time.record(tokens, 20 + 0.03 * tokens)
-    return answer_time
+        latency.record(tokens, 20 + 0.03 * tokens)
+    return latency
 
 
 @when('answers come 20 ms and 30 ms for each 1000 tokens after their request')
-def answer_many(context):
-    context.answer_time = _note_answers(60)
+def record_many_responses(context):
+    context.first_event_latency = _record_responses(60)
 
 
 @when('only {count:d} answers have come')
-def answer_few(context, count):
-    context.answer_time = _note_answers(count)
+def record_few_responses(context, count):
+    context.first_event_latency = _record_responses(count)
 
 
 @then('a prompt of {tokens:d} tokens is expected to take about {took_ms:d} ms')
-def check_expected_answer(context, tokens, took_ms):
-    expected_ms = context.answer_time.estimate_ms(tokens)
+def check_expected_latency(context, tokens, took_ms):
+    expected_ms = context.first_event_latency.estimate_ms(tokens)
     assert abs(expected_ms - took_ms) < 1, expected_ms
 
 
 @then('any prompt is expected to take 0 ms')
-def check_unknown_answer(context):
-    assert context.answer_time.estimate_ms(10_000) == 0
+def check_no_expected_latency(context):
+    assert context.first_event_latency.estimate_ms(10_000) == 0
 
 
 @given('a route whose callers come with {limit_ms:d} ms')
-def learn_limit(context, limit_ms):
-    context.limits = TypicalTimeLimits()
+def record_typical_limit(context, limit_ms):
+    context.typical_limits = TypicalTimeLimits()
     for number in range(25):
-        context.limits.record(_ROUTE, limit_ms - number % 9)
+        context.typical_limits.record(_ROUTE, limit_ms - number % 9)
 
 
 @when('one comes with {first_ms:d} ms and one with {second_ms:d} ms')
-def come_back(context, first_ms, second_ms):
+def record_two_limits(context, first_ms, second_ms):
     context.waited_ms = [
-        context.limits.record(_ROUTE, limit_ms)
+        context.typical_limits.record(_ROUTE, limit_ms)
         for limit_ms in (first_ms, second_ms)
     ]
 
@@ -88,38 +89,42 @@
 @then('the first has waited {first_ms:d} ms and the second {second_ms:d} ms')
 def check_waited(context, first_ms, second_ms):
     found_first_ms, found_second_ms = context.waited_ms
-    # The usual limit is known to the milliseconds of the network.
+    # The typical limit is known only up to some milliseconds of network delay.
     assert abs(found_first_ms - first_ms) < 10, found_first_ms
     assert found_second_ms == second_ms
 
 
 @when('all callers come with {limit_ms:d} ms from then on')
-def change_limit(context, limit_ms):
+def change_time_limit(context, limit_ms):
     context.waited_ms = [
-        context.limits.record(_ROUTE, limit_ms) for _ in range(25)
+        context.typical_limits.record(_ROUTE, limit_ms) for _ in range(25)
     ]
 
 
 @when('every third caller comes with {limit_ms:d} ms')
-def mix_limits(context, limit_ms):
+def mix_time_limits(context, limit_ms):
     context.waited_ms = []
     for number in range(75):
         if number % 3:
-            context.limits.record(_ROUTE, 6000 - number % 9)
+            context.typical_limits.record(_ROUTE, 6000 - number % 9)
         else:
-            waited_ms = context.limits.record(_ROUTE, limit_ms - number % 7)
+            waited_ms = context.typical_limits.record(
+                _ROUTE, limit_ms - number % 7
+            )
             context.waited_ms.append(waited_ms)
 
 
 @then('they are soon taken for new ones')
-def check_new(context):
-    taken_back = [one for one in context.waited_ms if one]
-    assert len(taken_back) <= 3, context.waited_ms
+def check_taken_for_new(context):
+    taken_for_retries = [
+        waited_ms for waited_ms in context.waited_ms if waited_ms
+    ]
+    assert len(taken_for_retries) <= 3, context.waited_ms
     assert context.waited_ms[-1] == 0
 
 
 @when('{count:d} pieces of priority {priority:d} are announced')
-def announce(context, count, priority):
+def announce_pieces(context, count, priority):
     context.announced = AnnouncedWork()
     context.announced.add('p', priority, count)
 
@@ -141,19 +146,19 @@
 
 
 @when('a gateway announces {count:d} pieces and is silent for a second')
-def fall_silent(context, count):
-    context.peers = PeerAnnouncements()
-    context.peers.record('g2', {'p': [count]}, 0)
-    assert context.peers.sum_counts('p', 1)[0] == count
+def announce_and_wait(context, count):
+    context.announcements = PeerAnnouncements()
+    context.announcements.record('g2', {'p': [count]}, 0)
+    assert context.announcements.sum_counts('p', 1)[0] == count
 
 
 @then('nothing of it counts')
-def check_forgotten(context):
-    assert not any(context.peers.sum_counts('p', 1000))
+def check_announcement_expired(context):
+    assert not any(context.announcements.sum_counts('p', 1000))
 
 
 @given('a request of two stages of {call_ms:d} ms each')
-def make_way(context, call_ms):
+def make_two_stage_request(context, call_ms):
     sheet = StagePoolSheet(
         instances=1,
         batch=1,
@@ -209,17 +214,19 @@
 
 
 @when('the second pool tells a wait of {wait_ms:d} ms')
-def tell_wait(context, wait_ms):
-    way = LatencyEstimate(job=context.job, first_event_ms=0)
-    context.late_ms = way.estimate_lateness_ms({'second': wait_ms})
+def report_wait(context, wait_ms):
+    estimate = LatencyEstimate(job=context.job, first_event_ms=0)
+    context.lateness_ms = estimate.estimate_lateness_ms({'second': wait_ms})
 
 
 @then('the request is expected to take {took_ms:d} ms')
-def check_way(context, took_ms):
-    # The steps before took some milliseconds of the objective.
+def check_estimated_latency(context, took_ms):
+    # The previous steps used some milliseconds of the objective.
     passed_ms = get_monotonic_ms() - context.job.received_ms
-    low_ms = took_ms - context.job.route.objective_ms
-    assert low_ms <= context.late_ms <= low_ms + passed_ms, context.late_ms
+    min_lateness_ms = took_ms - context.job.route.objective_ms
+    assert (
+        min_lateness_ms <= context.lateness_ms <= min_lateness_ms + passed_ms
+    ), context.lateness_ms
 
 
 @when('the model plays bursts with the margin of admission and without it')
@@ -250,15 +257,15 @@
     'nine tenths of what a scheduler that knows everything reaches '
     'are attained',
 )
-def check_near_bound(context):
+def check_attained_worth(context):
     bounds = bound_all(context.trials, _JOBS)
-    for day, best in zip(context.days, bounds, strict=True):
+    for day, bound in zip(context.days, bounds, strict=True):
         attained = sum_attained(day.sheet, day.records)
-        assert attained >= 0.9 * best, (attained, best)
+        assert attained >= 0.9 * bound, (attained, bound)
 
 
 @then('less of it is late than without the margin of admission')
-def check_late(context):
+def check_less_late(context):
     with_margin = play_all(context.trials, _JOBS)
     pattern = context.trials[0].pattern
     without = play_all(_make_trials(pattern, _NO_MARGIN), _JOBS)
@@ -269,15 +276,15 @@
     'half of the first refusals that the door gives by itself '
     'come within an eighth of the objective',
 )
-def check_prompt(context):
+def check_prompt_refusals(context):
     pattern = context.trials[0].pattern
     trials = _make_trials(pattern, _NO_DEFERRAL)
     context.days = [play_records(trial) for trial in trials]
     sheet = context.days[0].sheet
     shares = [
-        one.refused_ms / sheet.kinds[one.arrival.kind].objective_ms
-        for one in _get_records(context)
-        if one.refused_ms is not None
+        record.refused_ms / sheet.kinds[record.arrival.kind].objective_ms
+        for record in _get_records(context)
+        if record.refused_ms is not None
     ]
     assert shares
     assert statistics.median(shares) <= 1 / 8, statistics.median(shares)
@@ -291,7 +298,7 @@
 
 
 def _get_records(context) -> list[RequestRecord]:
-    return [one for day in context.days for one in day.records]
+    return [record for day in context.days for record in day.records]
 
 
 def _get_late(reports) -> float:
@@ -314,13 +321,16 @@
 @then('at most one request in ten of each kind is late')
 def check_kinds_late(context):
     sheet = context.days[0].sheet
-    for kind, described in sheet.kinds.items():
-        found = [
-            one for one in _get_records(context) if one.arrival.kind == kind
+    for kind, kind_sheet in sheet.kinds.items():
+        records = [
+            record
+            for record in _get_records(context)
+            if record.arrival.kind == kind
         ]
         late = [
-            one
-            for one in found
-            if one.took_ms is not None and one.took_ms > described.objective_ms
+            record
+            for record in records
+            if record.took_ms is not None
+            and record.took_ms > kind_sheet.objective_ms
         ]
-        assert len(late) <= len(found) / 10, (kind, len(late), len(found))
+        assert len(late) <= len(records) / 10, (kind, len(late), len(records))
--- a/tests/features/steps/popular_requests.py
+++ b/tests/features/steps/popular_requests.py
@@ -1,4 +1,4 @@
-"""Steps of harmless requests that run beside one that crashes instances."""
+"""Behave steps for harmless requests that run beside a crashing request."""
 
 import asyncio
 from dataclasses import dataclass, field
@@ -8,58 +8,59 @@
 from tests.fixtures.staged import NAMES
 from tests.standins.upstream import CRASHING_KEY, UpstreamStandin
 
-# Another one each time: the same would be quarantined after two crashes.
+# Each crash uses a new path: a request is quarantined after two crashes.
 _HARMFUL_PATHS = {
     'plain': '/safe/harmful-{number}/crash',
     'stage': '/staged/harmful-{number}/answer',
 }
-# Long enough for pieces of several requests to meet in one call.
+# Long enough for pieces of several requests to share one call.
 _PIECE_MS = 150
-_READS_BETWEEN = 2 * len(NAMES)
+_STORE_READS_BETWEEN = 2 * len(NAMES)
 
 
 @dataclass(kw_only=True)
-class _Popular:
-    """Hold what runs where, and what it has got."""
+class _PopularRequest:
+    """Hold the popular request, its only instance and its responses."""
 
     pool: str
     path: str = ''
     number: int = 0
-    answers: list = field(default_factory=list)
+    responses: list = field(default_factory=list)
 
 
 @given('one instance at a time for {pool:w} work')
-def keep_one(context, pool):
+def list_one_instance(context, pool):
     stage = context.gateway_stage
-    context.popular = _Popular(pool=pool)
+    context.popular = _PopularRequest(pool=pool)
     for name in ('u1', 'u2') if pool == 'plain' else ('s1',):
         stage.run(stage.hide(name))
-    stage.run(_replace(stage, context.popular))
+    stage.run(_replace_instance(stage, context.popular))
 
 
-async def _replace(stage, popular: _Popular) -> UpstreamStandin:
-    """List another instance in place of the one that has crashed."""
+async def _replace_instance(stage, popular: _PopularRequest) -> UpstreamStandin:
+    """List a new instance in place of the crashed instance."""
     if popular.number:
-        await stage.hide(_get_name(popular))
+        await stage.hide(_get_instance_name(popular))
     popular.number += 1
-    name = _get_name(popular)
+    name = _get_instance_name(popular)
     await stage.add_upstream(name, popular.pool)
     stage.upstreams[name].may_go_on.set()
-    directories = [stage.get_context(one).directory for one in NAMES]
+    directories = [stage.get_context(gateway).directory for gateway in NAMES]
     await stage.wait_for(
         lambda: all(
-            [entry.instance for entry in one.get_pool(popular.pool)] == [name]
-            for one in directories
+            [entry.instance for entry in directory.get_pool(popular.pool)]
+            == [name]
+            for directory in directories
         ),
     )
     return stage.upstreams[name]
 
 
-def _get_name(popular: _Popular) -> str:
+def _get_instance_name(popular: _PopularRequest) -> str:
     return f'only-{popular.number}'
 
 
-def _make_headers(popular: _Popular, key: str) -> dict[str, str]:
+def _make_headers(popular: _PopularRequest, key: str) -> dict[str, str]:
     if popular.pool == 'plain':
         return {}
     return {
@@ -68,7 +69,7 @@
     }
 
 
-async def _send_popular(stage, popular: _Popular, gateway: str):
+async def _send_popular(stage, popular: _PopularRequest, gateway: str):
     return await stage.send(
         popular.path,
         gateway=gateway,
@@ -76,24 +77,27 @@
     )
 
 
-def _count_popular(upstream: UpstreamStandin) -> int:
-    """Count what has begun; pieces of all gateways wait behind one call."""
+def _count_started(upstream: UpstreamStandin) -> int:
+    """Count the runs and calls that have started.
+
+    Pieces of all gateways wait behind one call, so that only one starts.
+    """
     return len(upstream.runs) + len(upstream.calls)
 
 
-async def _crash(stage, popular: _Popular) -> None:
+async def _crash_instance(stage, popular: _PopularRequest) -> None:
     """Crash the instance while the popular request runs for all gateways."""
-    upstream = stage.upstreams[_get_name(popular)]
+    upstream = stage.upstreams[_get_instance_name(popular)]
     upstream.may_go_on.clear()
     upstream.piece_ms = _PIECE_MS
-    before = _count_popular(upstream)
+    started_before = _count_started(upstream)
     expected = len(NAMES) if popular.pool == 'plain' else 1
     running = [
         asyncio.ensure_future(_send_popular(stage, popular, name))
         for name in NAMES
     ]
     await stage.wait_for(
-        lambda: _count_popular(upstream) >= before + expected,
+        lambda: _count_started(upstream) >= started_before + expected,
     )
     await stage.send(
         _HARMFUL_PATHS[popular.pool].format(number=popular.number),
@@ -101,8 +105,8 @@
         limit_ms=1000,
     )
     assert upstream.has_crashed
-    for sending in running:
-        sending.cancel()
+    for task in running:
+        task.cancel()
     await asyncio.gather(*running, return_exceptions=True)
 
 
@@ -116,27 +120,31 @@
 
 
 @when('the popular one ends well after each crash')
-def crash_and_end_well(context):
+def crash_and_send_again(context):
     stage = context.gateway_stage
-    stage.run(_crash_in_turn(stage, context.popular, context.crashes))
+    stage.run(_crash_repeatedly(stage, context.popular, context.crashes))
 
 
-async def _crash_in_turn(stage, popular: _Popular, count: int) -> None:
+async def _crash_repeatedly(
+    stage, popular: _PopularRequest, count: int
+) -> None:
     for _ in range(count):
-        await _crash(stage, popular)
-        await stage.wait_reads(_READS_BETWEEN)
-        await _replace(stage, popular)
-        popular.answers += await _end_well(stage, popular)
-        await stage.wait_reads(_READS_BETWEEN)
+        await _crash_instance(stage, popular)
+        await stage.wait_reads(_STORE_READS_BETWEEN)
+        await _replace_instance(stage, popular)
+        popular.responses += await _send_from_all_gateways(stage, popular)
+        await stage.wait_reads(_STORE_READS_BETWEEN)
 
 
-async def _end_well(stage, popular: _Popular) -> list:
+async def _send_from_all_gateways(stage, popular: _PopularRequest) -> list:
     return [await _send_popular(stage, popular, name) for name in NAMES]
 
 
 @then('the popular request is served at each gateway')
 def check_served(context):
     stage = context.gateway_stage
-    context.popular.answers += stage.run(_end_well(stage, context.popular))
-    statuses = [answer.status for answer in context.popular.answers]
+    context.popular.responses += stage.run(
+        _send_from_all_gateways(stage, context.popular)
+    )
+    statuses = [response.status for response in context.popular.responses]
     assert set(statuses) == {200}, statuses
--- a/tests/features/steps/routing.py
+++ b/tests/features/steps/routing.py
@@ -1,4 +1,4 @@
-"""Steps of routing."""
+"""Behave steps for the choice of instances and the retry budget."""
 
 import random
 from collections import Counter
@@ -18,8 +18,8 @@
 )
 from ragworthollow.routing.choice import SelectionCriteria
 
-_SPEED_MS = 10
-_STEP_MS = 20
+_LATENCY_MS = 10
+_CALL_INTERVAL_MS = 20
 
 
 def _make_instance(number: int, domains: int = 2) -> InstanceEntry:
@@ -33,44 +33,46 @@
 
 @given('{count:d} instances of which {which}')
 def make_instances(context, count, which):
-    context.peers = [
+    context.states = [
         PeerState(instance=_make_instance(number)) for number in range(count)
     ]
-    slow = _SPEED_MS * 10
-    context.speeds = {
-        peer.instance.instance: _SPEED_MS for peer in context.peers
+    slow_ms = _LATENCY_MS * 10
+    context.latencies_ms = {
+        state.instance.instance: _LATENCY_MS for state in context.states
     }
-    context.failing = ''
+    context.failing_instance = ''
     if which == 'one fails every call at once':
-        context.failing = 'i0'
+        context.failing_instance = 'i0'
     elif which == 'one takes ten times as long':
-        context.speeds['i0'] = slow
+        context.latencies_ms['i0'] = slow_ms
     else:
-        context.speeds = dict.fromkeys(context.speeds, slow)
+        context.latencies_ms = dict.fromkeys(context.latencies_ms, slow_ms)
 
 
 @when('{count:d} calls are routed')
-def route(context, count):
+def route_calls(context, count):
     rng = random.Random(1)
     context.calls = Counter()
     context.ejected = 0
     for number in range(count):
-        now_ms = number * _STEP_MS
-        peer = choose_instance(context.peers, SelectionCriteria(), now_ms, rng)
-        name = peer.instance.instance
+        now_ms = number * _CALL_INTERVAL_MS
+        state = choose_instance(
+            context.states, SelectionCriteria(), now_ms, rng
+        )
+        name = state.instance.instance
         context.calls[name] += 1
-        if name == context.failing:
-            peer.record_failure(now_ms)
+        if name == context.failing_instance:
+            state.record_failure(now_ms)
         else:
-            peer.record_success(context.speeds[name])
-        for slow in find_stragglers(context.peers):
+            state.record_success(context.latencies_ms[name])
+        for straggler in find_stragglers(context.states):
             context.ejected += 1
-            slow.avoid_until_ms = now_ms + 3000
-            slow.samples = 0
+            straggler.avoid_until_ms = now_ms + 3000
+            straggler.samples = 0
 
 
 @then('it got fewer than {percent:d} in 100 of them')
-def check_few(context, percent):
+def check_few_calls(context, percent):
     total = sum(context.calls.values())
     assert context.calls['i0'] < total * percent / 100, context.calls
 
@@ -81,7 +83,7 @@
 
 
 @when('any instances come and go')
-def change_instances(context):
+def choose_subsets(context):
     @for_all(st.integers(4, 40), st.integers(1, 8), st.randoms())
     @settings(derandomize=True, database=None, deadline=None)
     def check(count, size, rng):
@@ -108,7 +110,7 @@
 
 
 @when('a pool fails every call for a while')
-def fail_all(context):
+def withdraw_retries(context):
     budget = RetryBudget()
     context.retries = 0
     for _ in range(2000):
@@ -118,5 +120,5 @@
 
 
 @then('further attempts stay near a tenth of the traffic')
-def check_storm(context):
+def check_retry_rate(context):
     assert context.retries <= 2000 * 0.1 + 11, context.retries
--- a/tests/features/steps/store_news.py
+++ b/tests/features/steps/store_news.py
@@ -1,4 +1,4 @@
-"""Steps of gateways that tell each other what the store holds."""
+"""Behave steps for gateways that send each other updates of the store."""
 
 from dataclasses import replace
 
@@ -15,23 +15,23 @@
 from tests.fixtures.news_variants import VARIANTS
 from tests.standins.thin_link import BYTES_PER_MBIT
 
-_TROUBLE_FROM_MS = 8000
-# No step of the moments at which keys change is a multiple of any pace.
+_TROUBLE_START_MS = 8000
+# The interval between changes is not a multiple of any poll interval.
 _CHANGES_MS = tuple(range(4000, 20_000, 617))
 _SEEDS = (1, 2, 3)
 _EXAMPLES = settings(max_examples=600, deadline=None, derandomize=True)
 _GATEWAYS = st.integers(0, 2)
-_NOTHING = st.just(0)
-_FIRST = st.integers(0, 1)
+_UNUSED = st.just(0)
+_INDEXES = st.integers(0, 1)
 _MOVES = st.lists(
     st.one_of(
-        st.tuples(st.just('put'), _FIRST, _NOTHING),
-        st.tuples(st.just('remove'), _FIRST, _NOTHING),
-        st.tuples(st.just('read'), _GATEWAYS, _NOTHING),
-        st.tuples(st.just('suspend'), _GATEWAYS, _NOTHING),
+        st.tuples(st.just('put'), _INDEXES, _UNUSED),
+        st.tuples(st.just('remove'), _INDEXES, _UNUSED),
+        st.tuples(st.just('read'), _GATEWAYS, _UNUSED),
+        st.tuples(st.just('suspend'), _GATEWAYS, _UNUSED),
         st.tuples(st.just('ask'), _GATEWAYS, _GATEWAYS),
-        st.tuples(st.just('tell'), _FIRST, _NOTHING),
-        st.tuples(st.just('hear'), _FIRST, _NOTHING),
+        st.tuples(st.just('tell'), _INDEXES, _UNUSED),
+        st.tuples(st.just('hear'), _INDEXES, _UNUSED),
     ),
     min_size=20,
     max_size=60,
@@ -47,21 +47,21 @@
 
 
 @given('the first {count:d} of them are {kind:w} for {length_s:d} s')
-def trouble_first(context, count, kind, length_s):
-    _trouble(context, range(count), kind, length_s)
+def set_trouble_of_first(context, count, kind, length_s):
+    _set_trouble(context, range(count), kind, length_s)
 
 
 @given('the last {count:d} of them are {kind:w} for {length_s:d} s')
-def trouble_last(context, count, kind, length_s):
+def set_trouble_of_last(context, count, kind, length_s):
     total = context.plan.gateways
-    _trouble(context, range(total - count, total), kind, length_s)
+    _set_trouble(context, range(total - count, total), kind, length_s)
 
 
-def _trouble(context, gateways, kind: str, length_s: int) -> None:
+def _set_trouble(context, gateways, kind: str, length_s: int) -> None:
     trouble = Trouble(
         kind=kind,
-        start_ms=_TROUBLE_FROM_MS,
-        end_ms=_TROUBLE_FROM_MS + length_s * 1000,
+        start_ms=_TROUBLE_START_MS,
+        end_ms=_TROUBLE_START_MS + length_s * 1000,
         gateways=frozenset(gateways),
     )
     context.plan = replace(context.plan, troubles=(trouble,))
@@ -71,16 +71,16 @@
     "the store's watches hear nothing for {length_s:d} s "
     'and lose their history',
 )
-def silence_watches(context, length_s):
+def interrupt_watches(context, length_s):
     moves = (
-        (_TROUBLE_FROM_MS, 'fall_deaf'),
-        (_TROUBLE_FROM_MS + length_s * 1000, 'drop_history'),
+        (_TROUBLE_START_MS, 'fall_deaf'),
+        (_TROUBLE_START_MS + length_s * 1000, 'drop_history'),
     )
     context.plan = replace(context.plan, store_moves=moves)
 
 
 @given('values of {size_kb:d} kB behind links of {mbit_per_s:d} Mbit/s')
-def thin_links(context, size_kb, mbit_per_s):
+def limit_bandwidth(context, size_kb, mbit_per_s):
     context.plan = replace(
         context.plan,
         change_bytes=size_kb * 1000,
@@ -113,36 +113,36 @@
 
 
 @then('every gateway sees each change within {bound_ms:d} ms')
-def check_all_see(context, bound_ms):
+def check_seen_by_all(context, bound_ms):
     _check_seen(context, range(context.plan.gateways), bound_ms)
 
 
 @then('every other gateway sees each change within {bound_ms:d} ms')
-def check_others_see(context, bound_ms):
+def check_seen_by_others(context, bound_ms):
     (trouble,) = context.plan.troubles
     others = set(range(context.plan.gateways)) - trouble.gateways
     _check_seen(context, sorted(others), bound_ms)
 
 
 def _check_seen(context, gateways, bound_ms: int) -> None:
-    worst = [one.find_worst_ms(gateways) for one in context.outcomes]
-    assert max(worst) <= bound_ms, worst
+    worst_ms = [outcome.find_worst_ms(gateways) for outcome in context.outcomes]
+    assert max(worst_ms) <= bound_ms, worst_ms
 
 
 @then('no gateway ever goes back to an older state')
-def check_never_back(context):
-    assert not any(one.went_back for one in context.outcomes)
+def check_never_reverted(context):
+    assert not any(outcome.went_back for outcome in context.outcomes)
 
 
 @then('no answer to a ping is larger than {size:d} bytes')
-def check_answer_size(context, size):
+def check_response_size(context, size):
     (outcome,) = context.outcomes
     assert outcome.largest_answer_bytes <= size, outcome.largest_answer_bytes
 
 
 @when('the paces for bounds from {least_ms:d} to {most_ms:d} ms are derived')
-def derive(context, least_ms, most_ms):
-    context.paces = {
+def derive_intervals(context, least_ms, most_ms):
+    context.intervals = {
         bound_ms: derive_poll_intervals(
             bound_ms=bound_ms,
             heartbeat_ms=global_settings.INSTANCE_HEARTBEAT_MS,
@@ -154,31 +154,37 @@
 @then(
     'a lost call and its repeat fit into {share:g} of each from {least:d} ms on'
 )
-def check_fit(context, share, least):
+def check_retry_fits(context, share, least):
     lost_ms = global_settings.STORE_TIMEOUT_MS + global_settings.STORE_RETRY_MS
-    for bound_ms, paces in context.paces.items():
-        assert paces.get_reader_staleness_ms(0) <= paces.max_staleness_ms
+    for bound_ms, intervals in context.intervals.items():
+        assert (
+            intervals.get_reader_staleness_ms(0) <= intervals.max_staleness_ms
+        )
         if bound_ms >= least:
-            assert paces.max_staleness_ms + lost_ms < share * bound_ms, bound_ms
+            assert intervals.max_staleness_ms + lost_ms < share * bound_ms, (
+                bound_ms
+            )
 
 
 @then('no outage that lets entries lapse goes unnoticed')
-def check_outage(context):
-    # Three heartbeats of silence end an entry, of which one may just be due.
+def check_outage_noticed(context):
+    # A record lapses after three missed heartbeats; one may just be due.
     lapse_ms = 2 * global_settings.INSTANCE_HEARTBEAT_MS
-    for paces in context.paces.values():
-        noticed_ms = paces.max_staleness_ms + global_settings.STORE_TIMEOUT_MS
-        assert noticed_ms <= lapse_ms, paces
+    for intervals in context.intervals.values():
+        noticed_ms = (
+            intervals.max_staleness_ms + global_settings.STORE_TIMEOUT_MS
+        )
+        assert noticed_ms <= lapse_ms, intervals
 
 
 @when('gateways read, ask and hear in any order, also late')
-def explore(context):
-    context.are_right = _explore('')
+def explore_orders(context):
+    context.are_correct = _explore('')
 
 
 @when('gateways that {fault} read, ask and hear in any order, also late')
-def explore_wrong(context, fault):
-    context.are_right = _explore(fault)
+def explore_faulty_orders(context, fault):
+    context.are_correct = _explore(fault)
 
 
 def _explore(fault: str) -> list[bool]:
@@ -199,10 +205,10 @@
 
 
 @then('each copy is a state that the store had, and its evidence is true')
-def check_right(context):
-    assert all(context.are_right)
+def check_all_correct(context):
+    assert all(context.are_correct)
 
 
 @then('a copy is no state that the store had, or its evidence is false')
-def check_wrong(context):
-    assert not all(context.are_right)
+def check_fault_detected(context):
+    assert not all(context.are_correct)
--- a/tests/features/steps/store_reads.py
+++ b/tests/features/steps/store_reads.py
@@ -1,11 +1,11 @@
-"""Steps of what a gateway reads from the store."""
+"""Behave steps for the calls that a gateway makes to the store."""
 
 from behave import given, then, when
 
 from tests.fixtures.gateways import READ_PATHS
 
-_TXN = '/api/kv-txn'
-_RENEWAL = '/api/kv-keep/'
+_TRANSACTION_PATH = '/api/kv-txn'
+_RENEWAL_PREFIX = '/api/kv-keep/'
 
 
 def _count_polls(stage) -> float:
@@ -15,32 +15,34 @@
 
 
 @when('the gateway has read the store {count:d} times more')
-def read_store(context, count):
+def wait_for_store_reads(context, count):
     stage = context.gateway_stage
     counts = stage.store.counts
-    # The registration is over before what follows is counted.
-    stage.run(stage.wait_for(lambda: _TXN in counts))
+    # Registration must be complete, so that its calls are not counted.
+    stage.run(stage.wait_for(lambda: _TRANSACTION_PATH in counts))
     context.counts = dict(counts)
-    context.reads = stage.count_reads()
-    context.polls = _count_polls(stage)
+    context.reads_before = stage.count_reads()
+    context.polls_before = _count_polls(stage)
     stage.run(stage.wait_reads(count))
 
 
 @then('it made one call for each, and others only to renew its lease')
 def check_calls_made(context):
     stage = context.gateway_stage
-    made = {
+    called_paths = {
         path
         for path, count in stage.store.counts.items()
         if count > context.counts.get(path, 0)
     }
-    others = {path for path in made if not path.startswith(_RENEWAL)}
-    assert others <= set(READ_PATHS), made
-    reads = stage.count_reads() - context.reads
-    # The answer to one call may still be under way.
-    assert reads <= _count_polls(stage) - context.polls + 1, reads
+    other_paths = {
+        path for path in called_paths if not path.startswith(_RENEWAL_PREFIX)
+    }
+    assert other_paths <= set(READ_PATHS), called_paths
+    reads = stage.count_reads() - context.reads_before
+    # One call may still be waiting for its response.
+    assert reads <= _count_polls(stage) - context.polls_before + 1, reads
 
 
 @given('another process keeps bytes that are no text in the store')
-def keep_bytes(context):
+def store_binary_value(context):
     context.gateway_stage.store.put_bytes('status/other', bytes((255, 254)))
--- a/tests/features/steps/store_restored.py
+++ b/tests/features/steps/store_restored.py
@@ -1,4 +1,4 @@
-"""Steps of a store that comes back from a copy."""
+"""Behave steps for a store that is restored from a backup."""
 
 import asyncio
 import base64
@@ -22,13 +22,13 @@
 from tests.fixtures.news_variants import VARIANTS
 from tests.fixtures.store_followers import make_follower
 
-_CONFIGURATION = 'op/config'
-_DRAIN = 'op/evacuate/one'
-_ENTRY = 'gateways/g2'
-_KEY = 'quarantine/some-key'
+_CONFIGURATION_KEY = 'op/config'
+_DRAIN_KEY = 'op/evacuate/one'
+_GATEWAY_KEY = 'gateways/g2'
+_QUARANTINE_KEY = 'quarantine/some-key'
 _KEYS = st.sampled_from(('op/config', 'servers/a', 'servers/b'))
-_SILENCES = ('fall_deaf', 'fall_mute', 'drop_history')
-_ACTIONS = ('save', 'restore', 'poll', 'poll', *_SILENCES)
+_WATCH_FAULTS = ('fall_deaf', 'fall_mute', 'drop_history')
+_ACTIONS = ('save', 'restore', 'poll', 'poll', *_WATCH_FAULTS)
 _MOVES = st.lists(
     st.one_of(
         st.tuples(st.sampled_from(('put', 'remove')), _KEYS),
@@ -38,7 +38,7 @@
     max_size=40,
 )
 _GATEWAYS = st.integers(0, 2)
-_NOTHING = st.just(0)
+_UNUSED = st.just(0)
 _WRITES = (
     'put',
     'remove',
@@ -49,10 +49,10 @@
 )
 _NEWS_MOVES = st.lists(
     st.one_of(
-        st.tuples(st.sampled_from(_WRITES), _NOTHING, _NOTHING),
-        st.tuples(st.just('read'), _GATEWAYS, _NOTHING),
+        st.tuples(st.sampled_from(_WRITES), _UNUSED, _UNUSED),
+        st.tuples(st.just('read'), _GATEWAYS, _UNUSED),
         st.tuples(st.just('ask'), _GATEWAYS, _GATEWAYS),
-        st.tuples(st.sampled_from(('tell', 'hear')), _GATEWAYS, _NOTHING),
+        st.tuples(st.sampled_from(('tell', 'hear')), _GATEWAYS, _UNUSED),
     ),
     min_size=15,
     max_size=50,
@@ -61,9 +61,9 @@
 
 
 @given('the store was copied, and has gone on for {count:d} revisions')
-def go_on(context, count):
+def write_after_backup(context, count):
     stage = context.gateway_stage
-    context.saved = stage.store.save()
+    context.backup = stage.store.save()
 
     async def write() -> None:
         for number in range(count):
@@ -77,17 +77,17 @@
 
 
 @when('the store comes back from its copy')
-def restore(context):
-    context.gateway_stage.store.restore(context.saved)
+def restore_store(context):
+    context.gateway_stage.store.restore(context.backup)
 
 
 @when('the operators write version {version:d} without the route of {prefix:S}')
 def remove_route(context, version, prefix):
     stage = context.gateway_stage
     routes = [
-        one
-        for one in stage.configuration['routes']
-        if one['path_prefix'] != prefix
+        route
+        for route in stage.configuration['routes']
+        if route['path_prefix'] != prefix
     ]
     stage.run(stage.configure(version=version, routes=routes))
 
@@ -108,7 +108,7 @@
 
 
 @when('the gateway has read it')
-def wait_read(context):
+def wait_until_read(context):
     stage = context.gateway_stage
     view = stage.get_context().replica.view
     stage.run(
@@ -125,33 +125,33 @@
 def drain(context):
     stage = context.gateway_stage
     directory = stage.get_context().directory
-    stage.run(stage.write({_DRAIN: '{}'}))
+    stage.run(stage.write({_DRAIN_KEY: '{}'}))
     stage.run(stage.wait_for(lambda: not directory.get_pool('plain')))
 
 
 @when('the operators drain domain one again, and restore it')
-def drain_again(context):
+def drain_and_restore_domain(context):
     stage = context.gateway_stage
-    stage.run(stage.write({_DRAIN: '{}'}))
-    wait_read(context)
-    stage.run(stage.write({_DRAIN: None}))
+    stage.run(stage.write({_DRAIN_KEY: '{}'}))
+    wait_until_read(context)
+    stage.run(stage.write({_DRAIN_KEY: None}))
 
 
 @given('the entry of {name:w} has said that it leaves')
-def say_leaving(context, name):
+def mark_leaving(context, name):
     stage = context.gateway_stage
     stage.run(stage.show(name, 'plain', state='draining'))
-    _wait_left(stage, name)
+    _wait_until_removed(stage, name)
 
 
 @given('the entry of {name:w} was removed')
 def remove_entry(context, name):
     stage = context.gateway_stage
     stage.run(stage.hide(name))
-    _wait_left(stage, name)
+    _wait_until_removed(stage, name)
 
 
-def _wait_left(stage, name: str) -> None:
+def _wait_until_removed(stage, name: str) -> None:
     directory = stage.get_context().directory
     stage.run(stage.wait_for(lambda: directory.get(name) is None))
 
@@ -163,7 +163,7 @@
 
 
 @then('{name:w} gets nothing of {count:d} requests')
-def check_nothing(context, name, count):
+def check_no_requests(context, name, count):
     stage = context.gateway_stage
     for _ in range(count):
         stage.run(stage.send('/safe/answer'))
@@ -171,7 +171,7 @@
 
 
 @then('{name:w} gets work again')
-def check_work(context, name):
+def check_in_directory(context, name):
     stage = context.gateway_stage
     directory = stage.get_context().directory
     stage.run(stage.wait_for(lambda: directory.get(name) is not None))
@@ -189,14 +189,14 @@
 def register_other(context):
     stage = context.gateway_stage
     start_other(context)
-    stage.run(stage.wait_for(lambda: _ENTRY in stage.store.entries))
+    stage.run(stage.wait_for(lambda: _GATEWAY_KEY in stage.store.entries))
 
 
 @then('the other gateway is in the store again')
 def check_registered(context):
     stage = context.gateway_stage
-    assert _ENTRY not in stage.store.entries
-    stage.run(stage.wait_for(lambda: _ENTRY in stage.store.entries))
+    assert _GATEWAY_KEY not in stage.store.entries
+    stage.run(stage.wait_for(lambda: _GATEWAY_KEY in stage.store.entries))
 
 
 @then('version {version:d} is in force')
@@ -227,8 +227,8 @@
 
 def _check_answered(context, path, status, name) -> None:
     stage = context.gateway_stage
-    answer = stage.run(stage.send(path, gateway=name))
-    assert answer.status == status, answer
+    response = stage.run(stage.send(path, gateway=name))
+    assert response.status == status, response
 
 
 @then('a caller of {path:S} is answered {status:d} soon')
@@ -243,31 +243,33 @@
 def reuse_revision(context):
     stage = context.gateway_stage
     store = stage.get_context().store
-    saved = stage.store.save()
+    backup = stage.store.save()
 
     async def write(text: str) -> None:
-        await store.commit(compares=(), puts=(Put(key=_KEY, text=text),))
+        await store.commit(
+            compares=(), puts=(Put(key=_QUARANTINE_KEY, text=text),)
+        )
 
     stage.run(write('first'))
-    context.read = stage.run(store.read(_KEY)).ok_value
-    stage.store.restore(saved)
+    context.read_value = stage.run(store.read(_QUARANTINE_KEY)).ok_value
+    stage.store.restore(backup)
     stage.run(write('second'))
-    again = stage.run(store.read(_KEY)).ok_value
-    assert again.mod_revision == context.read.mod_revision
+    rewritten = stage.run(store.read(_QUARANTINE_KEY)).ok_value
+    assert rewritten.mod_revision == context.read_value.mod_revision
 
 
 @then('a write that compares it with what was read is not made')
-def check_compared(context):
+def check_write_rejected(context):
     stage = context.gateway_stage
     store = stage.get_context().store
     written = stage.run(
         store.commit(
-            compares=(compare_with(_KEY, context.read),),
-            puts=(Put(key=_KEY, text='third'),),
+            compares=(compare_with(_QUARANTINE_KEY, context.read_value),),
+            puts=(Put(key=_QUARANTINE_KEY, text='third'),),
         ),
     )
     assert written == Ok(False), written
-    assert stage.run(store.read(_KEY)).ok_value.text == 'second'
+    assert stage.run(store.read(_QUARANTINE_KEY)).ok_value.text == 'second'
 
 
 @then(
@@ -278,21 +280,25 @@
     newer = Stored(text='{"version": 5}', mod_revision=8)
     older = Stored(text='{"version": 4}', mod_revision=3)
     replica = Replica()
-    replica.replace(_snapshot({_DRAIN: drain, _CONFIGURATION: newer}, 8, 0), 0)
-    replica.replace(_snapshot({_CONFIGURATION: older}, 3, 1), 100)
-    held_ms = 100 + global_settings.RESTORED_RETENTION_MS
-    assert _DRAIN in replica.get_entries(held_ms - 1)
-    found = replica.get_entries(held_ms)
-    assert _DRAIN not in found
-    assert found[_CONFIGURATION] == newer
+    replica.replace(
+        _make_snapshot({_DRAIN_KEY: drain, _CONFIGURATION_KEY: newer}, 8, 0), 0
+    )
+    replica.replace(_make_snapshot({_CONFIGURATION_KEY: older}, 3, 1), 100)
+    expires_ms = 100 + global_settings.RESTORED_RETENTION_MS
+    assert _DRAIN_KEY in replica.get_entries(expires_ms - 1)
+    entries = replica.get_entries(expires_ms)
+    assert _DRAIN_KEY not in entries
+    assert entries[_CONFIGURATION_KEY] == newer
     written = Stored(text='{"version": 6}', mod_revision=4)
-    replica.replace(_snapshot({_CONFIGURATION: written}, 4, 1), held_ms)
-    assert replica.get_entries(held_ms)[_CONFIGURATION] == written
+    replica.replace(
+        _make_snapshot({_CONFIGURATION_KEY: written}, 4, 1), expires_ms
+    )
+    assert replica.get_entries(expires_ms)[_CONFIGURATION_KEY] == written
 
 
-def _snapshot(found, revision: int, timeline: int) -> StoreSnapshot:
+def _make_snapshot(entries, revision: int, timeline: int) -> StoreSnapshot:
     return StoreSnapshot(
-        entries=found,
+        entries=entries,
         revision=revision,
         size_bytes=1,
         timeline=timeline,
@@ -300,7 +306,7 @@
 
 
 @then('a later right has the higher fencing number')
-def check_fences(context):
+def check_fencing_numbers(context):
     before = StorePosition(timeline=1, revision=900)
     after = StorePosition(timeline=2, revision=20)
     assert after > before
@@ -308,38 +314,38 @@
 
 
 class _Comparison:
-    """Compare what a gateway holds with the store, after each poll."""
+    """Compare the replica of a gateway with the store after each poll."""
 
     def __init__(self) -> None:
         self.session = StoreSession()
         self.is_same = True
         self._replica = Replica()
-        self._follower = make_follower(
+        self._poller = make_follower(
             self.session,
             self,
             replica=self._replica,
         )
 
-    def apply_entries(self, _found, _asked_ms) -> None:
-        """Compare the copy itself."""
-        held = {
-            key: one.text for key, one in self._replica.view.entries.items()
+    def apply_entries(self, _entries, _sent_ms) -> None:
+        """Compare the replica itself instead of the applied entries."""
+        replicated = {
+            key: entry.text for key, entry in self._replica.view.entries.items()
         }
-        there = {
-            key: base64.b64decode(one['value']).decode()
-            for key, one in self.session.found.items()
+        stored = {
+            key: base64.b64decode(entry['value']).decode()
+            for key, entry in self.session.found.items()
         }
-        self.is_same &= held == there
+        self.is_same &= replicated == stored
 
     def handle_store_unavailable(self, _detail) -> None:
-        """Go on."""
+        """Ignore the failure; later polls are compared."""
 
     async def play(self, moves) -> None:
         with override_clocks(asyncio.get_running_loop().get_ms):
-            await self._follower.poll()
+            await self._poller.poll()
             for move, key in moves:
                 if move == 'poll':
-                    await self._follower.poll()
+                    await self._poller.poll()
                 else:
                     getattr(self.session, move)(*filter(None, (key,)))
 
@@ -364,7 +370,7 @@
     assert all(context.outcomes), context.outcomes.count(False)
 
 
-def _explore_news(fault: str) -> list[bool]:
+def _explore_updates(fault: str) -> list[bool]:
     outcomes = []
 
     @_EXAMPLES
@@ -382,20 +388,20 @@
 
 
 @when('the store is restored while gateways read, ask and hear in any order')
-def explore_news(context):
-    context.outcomes = _explore_news('')
+def explore_updates(context):
+    context.outcomes = _explore_updates('')
 
 
 @when('the store is restored under gateways that {fault}')
-def explore_variant(context, fault):
-    context.outcomes = _explore_news(fault)
+def explore_faulty_updates(context, fault):
+    context.outcomes = _explore_updates(fault)
 
 
 @then('each copy is a state of the store, and no version is undone')
-def check_right(context):
+def check_all_correct(context):
     assert all(context.outcomes), context.outcomes.count(False)
 
 
 @then('a copy is no state of the store, or a version is undone')
-def check_found_out(context):
+def check_fault_detected(context):
     assert not all(context.outcomes)
--- a/tests/features/steps/store_view.py
+++ b/tests/features/steps/store_view.py
@@ -1,4 +1,4 @@
-"""Steps of the copy of the store that a gateway keeps."""
+"""Behave steps for the replica of the store that a gateway keeps."""
 
 import asyncio
 from dataclasses import replace
@@ -29,17 +29,17 @@
 _EXAMPLES = settings(max_examples=400, deadline=None, derandomize=True)
 
 
-class _HastyClient(StoreClient):
-    """Go on from the revision of the store, whatever was heard."""
+class _RevisionSkippingClient(StoreClient):
+    """Continue from the store's revision, whatever changes were received."""
 
     async def read_changes(self, prefix, *, after_revision, max_bytes):
-        answer = await super().read_changes(
+        response = await super().read_changes(
             prefix,
             after_revision=after_revision,
             max_bytes=max_bytes,
         )
         revision = self.session.revision
-        return answer.map(
+        return response.map(
             lambda changes: (
                 changes
                 and replace(changes, revision=revision, is_complete=True)
@@ -48,34 +48,36 @@
 
 
 class _Copy:
-    """Compare what a follower is told with the store, after each poll."""
+    """Compare the entries that a poller applies with those of the store."""
 
     def __init__(self, make_client) -> None:
         self.session = StoreSession()
-        self._follower = make_follower(
+        self._poller = make_follower(
             self.session,
             self,
             make_client=make_client,
         )
         self.is_same = True
 
-    def apply_entries(self, found, _asked_ms) -> None:
-        held = {key: one.mod_revision for key, one in found.items()}
-        there = {key: one['rev'] for key, one in self.session.found.items()}
-        self.is_same &= held == there
+    def apply_entries(self, entries, _sent_ms) -> None:
+        applied = {key: entry.mod_revision for key, entry in entries.items()}
+        stored = {
+            key: entry['rev'] for key, entry in self.session.found.items()
+        }
+        self.is_same &= applied == stored
 
     def handle_store_unavailable(self, _detail) -> None:
-        """Go on."""
+        """Ignore the failure; later polls are compared."""
 
     async def play(self, moves) -> None:
         with override_clocks(asyncio.get_running_loop().get_ms):
-            await self._follower.poll()
+            await self._poller.poll()
             for move, key in moves:
-                await self._make(move, key)
+                await self._apply_move(move, key)
 
-    async def _make(self, move: str, key: str) -> None:
+    async def _apply_move(self, move: str, key: str) -> None:
         if move == 'poll':
-            await self._follower.poll()
+            await self._poller.poll()
         elif key:
             getattr(self.session, move)(key)
         else:
@@ -97,13 +99,13 @@
 
 
 @when('a store is written, falls silent and drops its history in any order')
-def follow(context):
+def explore_polls(context):
     context.outcomes = _explore(StoreClient)
 
 
 @when('a gateway that goes on from the revision of each answer follows them')
-def follow_hastily(context):
-    context.outcomes = _explore(_HastyClient)
+def explore_polls_skipping_revisions(context):
+    context.outcomes = _explore(_RevisionSkippingClient)
 
 
 @then("the gateway's copy is the store's after each poll that is answered")
--- a/tests/features/steps/upstreams.py
+++ b/tests/features/steps/upstreams.py
@@ -1,4 +1,4 @@
-"""Steps of the directory, the choice of upstreams and the route table."""
+"""Behave steps for the directory, the choice of upstreams and the routes."""
 
 import random
 from collections import defaultdict
@@ -45,7 +45,7 @@
 
 
 def _get_names(directory: Directory) -> set[str]:
-    return {one.instance for one in directory.get_pool('p')}
+    return {instance.instance for instance in directory.get_pool('p')}
 
 
 @when('a list shows i1 as leaving')
@@ -62,20 +62,20 @@
 
 
 @then('i1 gets no work from then on')
-def check_gone(context):
+def check_removed(context):
     assert _get_names(context.directory) == {'i0'}
     assert context.directory.get('i1') is None
     assert context.change.left == ('i1',)
 
 
 @given('the store could not be read before the next list')
-def be_away(context):
+def record_outage(context):
     context.directory = _make_directory()
     context.directory.record_outage()
 
 
 @when('lists at {first_ms:d} and {second_ms:d} show i1 no longer')
-def show_lapsed(context, first_ms, second_ms):
+def show_without_twice(context, first_ms, second_ms):
     for now_ms in (first_ms, second_ms):
         context.directory.replace([_make_instance(0)], now_ms)
 
@@ -84,7 +84,7 @@
     'each list from {first:d} to {last:d} shows i1 no longer '
     'and is followed by a loss',
 )
-def lose_lists(context, first, last):
+def show_without_between_outages(context, first, last):
     for now_ms in range(first, last + 1, 600):
         listed = [_make_instance(0)]
         context.change = context.directory.replace(listed, now_ms)
@@ -93,10 +93,10 @@
 
 @when('lists come every {pace:d} from {first:d} on and i1 has left at {left:d}')
 def leave_after_outage(context, pace, first, left):
-    context.left_ms = left
+    context.departure_ms = left
     lists_ms = range(first, _LAST_LIST_MS, pace)
-    # It gets work until the first list after which it is not found.
-    context.until_ms = next(
+    # i1 gets work until the first list after which it is not in the directory.
+    context.removed_ms = next(
         now_ms
         for now_ms in lists_ms
         if not _replace_and_find(context.directory, now_ms, left)
@@ -104,15 +104,17 @@
 
 
 def _replace_and_find(directory, now_ms: int, left_ms: int) -> bool:
-    """Show a list, and tell whether i1 gets work after it."""
+    """Apply a list of instances and return whether i1 still gets work."""
     numbers = (0, 1) if now_ms < left_ms else (0,)
-    directory.replace([_make_instance(one) for one in numbers], now_ms)
+    directory.replace([_make_instance(number) for number in numbers], now_ms)
     return 'i1' in _get_names(directory)
 
 
 @then('i1 gets no work later than {bound_ms:d} after that')
 def check_bound(context, bound_ms):
-    assert context.until_ms - context.left_ms <= bound_ms, context.until_ms
+    assert context.removed_ms - context.departure_ms <= bound_ms, (
+        context.removed_ms
+    )
 
 
 @then('i1 still gets work')
@@ -121,15 +123,15 @@
 
 
 @then('a list at {now_ms:d} that shows it no longer ends that')
-def check_ended(context, now_ms):
+def check_removed_by_list(context, now_ms):
     context.directory.replace([_make_instance(0)], now_ms)
     assert _get_names(context.directory) == {'i0'}
 
 
-def _choose(instances, book, key='', now_ms=0):
+def _choose(instances, load_tracker, key='', now_ms=0):
     return choose_upstream(
         instances,
-        book,
+        load_tracker,
         UpstreamCriteria(affinity_key=key),
         now_ms,
         random.Random(1),
@@ -137,35 +139,39 @@
 
 
 @when('{count:d} requests of {prompts:d} prompts find idle instances')
-def spread_prompts(context, count, prompts):
+def choose_for_prompts(context, count, prompts):
     instances = [_make_instance(number) for number in range(4)]
-    context.readers = defaultdict(set)
+    context.instances_by_prompt = defaultdict(set)
     for number in range(count):
         key = f'prompt-{number % prompts}'
         chosen = _choose(instances, LoadTracker(), key)
-        context.readers[key].add(chosen.instance)
+        context.instances_by_prompt[key].add(chosen.instance)
 
 
 @then('each prompt is read by one instance only')
-def check_readers(context):
-    assert all(len(names) == 1 for names in context.readers.values())
+def check_one_instance_per_prompt(context):
+    assert all(
+        len(names) == 1 for names in context.instances_by_prompt.values()
+    )
 
 
 @when(
     '{count:d} requests of 1 prompt run at once '
     'on {many:d} instances of 64 slots',
 )
-def run_hot(context, count, many):
+def run_one_prompt(context, count, many):
     instances = [_make_instance(number) for number in range(many)]
-    book = LoadTracker()
+    load_tracker = LoadTracker()
     for _ in range(count):
-        chosen = _choose(instances, book, 'hot')
-        book.get(chosen.instance).in_flight += 1
-    context.loads = [book.get(one.instance).in_flight for one in instances]
+        chosen = _choose(instances, load_tracker, 'hot')
+        load_tracker.get(chosen.instance).in_flight += 1
+    context.loads = [
+        load_tracker.get(instance.instance).in_flight for instance in instances
+    ]
 
 
 @then('no instance has more than {most:d} of them')
-def check_hot(context, most):
+def check_load(context, most):
     assert max(context.loads) <= most, context.loads
 
 
@@ -247,13 +253,13 @@
 
 @then('broken configurations give an error that names the place')
 def check_broken(context):
-    whole = {
+    configuration = {
         'version': 1,
         'routes': [{'name': 'r', 'host': 'h', 'path_prefix': '/'}],
     }
     for text, place in (
         (b'{', ''),
-        (msgspec.json.encode(whole), 'routes[0]'),
+        (msgspec.json.encode(configuration), 'routes[0]'),
         (b'{"routes": []}', 'version'),
     ):
         decoded = decode_configuration(text)
