--- a/tests/features/steps/homes.py
+++ b/tests/features/steps/homes.py
@@ -90,7 +90,9 @@
         assert answer.status == 503, answer
         assert 'Retry-After' in answer.headers, answer
     assert context.took_s < _MAX_REFUSAL_S, context.took_s
-    assert not any(one.runs for one in context.gateway_stage.upstreams.values())
+    assert not any(
+        upstream.runs for upstream in context.gateway_stage.upstreams.values()
+    )
 
 
 def _make_instance(number: int, region: str) -> UpstreamInstance:
--- a/tests/features/steps/host_choice.py
+++ b/tests/features/steps/host_choice.py
@@ -71,8 +71,8 @@
 
 
 def _choose_hosts(members: GatewayMembers, own: str, count: int) -> list[str]:
-    hosts = [members.find_host(f'pool-{number}') for number in range(count)]
-    return [own if host is None else host.instance for host in hosts]
+    hosts = [members.find_host(f'pool-{one}') for one in range(count)]
+    return [own if one is None else one.instance for one in hosts]
 
 
 @then('each is a {kind:w} one, and no gateway hosts more than {most:d} of them')
--- a/tests/features/steps/popular_requests.py
+++ b/tests/features/steps/popular_requests.py
@@ -8,7 +8,7 @@
 from tests.fixtures.staged import NAMES
 from tests.standins.upstream import CRASHING_KEY, UpstreamStandin
 
-# Each crash uses a new path: a request is quarantined after two crashes.
+# Each crash uses a new path, as a request is quarantined after two crashes.
 _HARMFUL_PATHS = {
     'plain': '/safe/harmful-{number}/crash',
     'stage': '/staged/harmful-{number}/answer',
@@ -45,12 +45,11 @@
     name = _get_instance_name(popular)
     await stage.add_upstream(name, popular.pool)
     stage.upstreams[name].may_go_on.set()
-    directories = [stage.get_context(gateway).directory for gateway in NAMES]
+    directories = [stage.get_context(one).directory for one in NAMES]
     await stage.wait_for(
         lambda: all(
-            [entry.instance for entry in directory.get_pool(popular.pool)]
-            == [name]
-            for directory in directories
+            [entry.instance for entry in one.get_pool(popular.pool)] == [name]
+            for one in directories
         ),
     )
     return stage.upstreams[name]
@@ -80,7 +79,7 @@
 def _count_started(upstream: UpstreamStandin) -> int:
     """Count the runs and calls that have started.
 
-    Pieces of all gateways wait behind one call, so that only one starts.
+    Pieces of all gateways wait behind one call, so only one call starts.
     """
     return len(upstream.runs) + len(upstream.calls)
 
--- a/tests/features/steps/store_restored.py
+++ b/tests/features/steps/store_restored.py
@@ -122,7 +122,7 @@
 
 
 @given('failure domain one was drained')
-def drain(context):
+def drain_domain(context):
     stage = context.gateway_stage
     directory = stage.get_context().directory
     stage.run(stage.write({_DRAIN_KEY: '{}'}))
