--- a/tests/features/admission.feature
+++ b/tests/features/admission.feature
@@ -15,22 +15,22 @@
     Given two organisations of equal guarantee
     When one sends twice its share while the other is idle
     Then it uses more than nine tenths of the upstream
-    When the other comes back with its full share
+    When the other sends its full share again
     Then the other gets its share within a second
 
   Scenario: Calls of the least worth are evicted first
     Given a full queue of calls of little worth
     When a call of great worth arrives that would come too late
-    Then calls of little worth make room for it
+    Then calls of little worth are evicted for it
 
   Scenario: Calls within a guarantee are not evicted for another's worth
     # An organisation that declares great worth for its requests could otherwise
     # evict calls that are within another organisation's guarantee.
     Given a queue of calls of little worth, all within their guarantee
     When a call of great worth arrives that would come too late
-    Then none of them has to go
+    Then none of them is evicted
 
   Scenario: A call that cannot end in time is refused at once
     Given a full queue of calls of little worth
     When a call arrives whose deadline is closer than the wait
-    Then it is refused as overloaded and told when to come back
+    Then it is refused as overloaded and given a time to retry
--- a/tests/features/at_most_once.feature
+++ b/tests/features/at_most_once.feature
@@ -6,7 +6,7 @@
   Scenario: A retry through another entry gets the same response
     # The response is lost on its way to the caller, which retries through
     # another entry.
-    When a request is answered and asked again through another entry
+    When a request is answered and retried through another entry
     Then both answers are the same and it is recorded once
 
   Scenario: The same key is used through two entries at the same time
@@ -24,11 +24,11 @@
   Scenario: The ledger's response is lost after the entry was recorded
     # The ledger records the entry and its connection breaks before the
     # response, so only the ledger knows that the entry exists.
-    Given the ledger loses its answers
+    Given the ledger loses its responses
     When a request is sent
     Then its outcome is unknown and it is recorded once
-    Given the ledger behaves
-    When it is asked again
+    Given the ledger has no faults
+    When it is retried
     Then its outcome is unknown and it is recorded once
 
   Scenario Outline: The ledger's response has the fault <fault>
@@ -36,8 +36,8 @@
     Given the ledger has the fault <fault>
     When a request is sent
     Then its outcome is unknown and it is recorded once
-    Given the ledger behaves
-    When it is asked again
+    Given the ledger has no faults
+    When it is retried
     Then its outcome is unknown and it is recorded once
 
     Examples:
@@ -50,7 +50,7 @@
     # caller retries.
     When a request is answered
     And the owner of its key is killed and started again
-    And it is asked again until it has a final answer
+    And it is retried until it has a final response
     Then its outcome is unknown and it is recorded once
 
   Scenario: The owner of a key freezes past its lease and resumes
@@ -59,10 +59,10 @@
     Given the ledger is slow
     When a request is sent and the owner of its key freezes meanwhile
     And the key has a new owner
-    And it is asked again until it has a final answer
-    And the frozen owner wakes up
+    And it is retried until it has a final response
+    And the frozen owner resumes
     Then it is recorded at most once
-    Given the ledger behaves
+    Given the ledger has no faults
 
   Scenario: The platform is unavailable for longer than every lease
     # Sidecars cannot renew their leases; they continue as long as each peer
@@ -72,7 +72,7 @@
     When 20 requests are sent
     Then all of them are answered
     Given the platform is back
-    Then the books of all callers are clean
+    Then no request of any caller was lost, doubled, crossed or falsely reported as not run
 
   Scenario: The platform becomes unavailable during a handover of ranges
     # A member that was frozen gets its ranges back.  The store stops responding
@@ -82,12 +82,12 @@
     Given the ledger is slow
     When a request is sent and the owner of its key freezes meanwhile
     And the key has a new owner
-    And the platform goes away while the frozen owner gets its ranges back
-    And the ledger behaves
+    And the platform becomes unavailable while the frozen owner gets its ranges back
+    And the ledger has no faults
     When 20 requests are sent
     Then none is left without an answer
     Given the platform is back
     And every range is with the member that should own it
-    When the unanswered ones are asked again
+    When the unanswered requests are retried
     Then none is left without an answer
-    And the books of all callers are clean
+    And no request of any caller was lost, doubled, crossed or falsely reported as not run
--- a/tests/features/configuration_fleet.feature
+++ b/tests/features/configuration_fleet.feature
@@ -5,13 +5,13 @@
 
   Scenario: Operators change different files at the same time
     When pikselis and storefronts apply a change at the same time
-    Then both are accepted and in force in every process
+    Then both are accepted and active in every process
 
   Scenario: Two people change the same file
     # Both have pulled the same file; the later change would undo the earlier
     # one without its author having seen it.
     When two people of pikselis apply different changes of one file
-    Then the later one is told of a conflict that names pikselis
+    Then the later one gets a conflict that names pikselis
 
   Scenario: An operator changes another's file
     When storefronts applies a change of the file of pikselis
@@ -25,21 +25,21 @@
     # The platform has stored the change, but its response is lost; the retry
     # must neither fail nor apply the change twice.
     When the platform loses the answer to a change of pikselis
-    Then the change is accepted once and in force in every process
+    Then the change is accepted once and active in every process
 
   Scenario: The platform fails right after it has accepted a change
     # The platform becomes unavailable before any watch has delivered the
     # accepted change, so only the entry that submitted it knows of it.
     When the platform goes down right after a change of pikselis
-    Then the change is in force in every process
+    Then the change is active in every process
     When a sidecar is killed and started during the outage
-    Then the change is in force in every process
-    Given the platform has come back
+    Then the change is active in every process
+    Given the platform is available again
 
   Scenario: A watcher is frozen when a change is made
     # Subscribers wait for a response of a watcher that never responds.
     When all watchers of a failure domain but one are frozen during a change
-    Then the change is in force in every process that runs
+    Then the change is active in every process that runs
     Given all processes run
 
   Scenario Outline: <what> changes nothing
@@ -62,7 +62,7 @@
     # model must continue to be served.
     Given a steady load of requests
     When consortium changes the version of a model
-    Then every engine carries the new version
+    Then every engine has loaded the new version
     And every request was answered
 
   Scenario: The history shows who changed what
--- a/tests/features/crash_evidence.feature
+++ b/tests/features/crash_evidence.feature
@@ -4,7 +4,7 @@
     # Guards against a decision by crashes alone: every request that runs on an
     # instance when it crashes has been in a crash, and most are harmless.
     Given a request that was running in 1 crashes
-    When it ends well and is running in 1 further crashes
+    When it succeeds and is running in 1 further crashes
     Then it is not quarantined
 
   Scenario: A quarantine expires, and one more crash makes a longer one
@@ -20,7 +20,7 @@
   Scenario: Gateways that receive evidence in any order agree
     # Guards against a gateway that admits a request which others quarantine,
     # because a message was lost, came twice or overtook another.
-    Then any exchange of any evidence ends in one verdict of all gateways
+    Then any exchange of any evidence ends in the same quarantine decision of all gateways
 
   Scenario: A gateway that restarts receives all evidence
     # Guards against a gateway that knows of no quarantine after its start and
@@ -40,9 +40,9 @@
     # Guards against memory that grows with each crash during which a popular
     # request ran, for as long as the request is popular.
     Given a request that was running in 1 crashes
-    When it ends well and is running in 1 further crashes
+    When it succeeds and is running in 1 further crashes
     And 3 hours have passed and another request was running in a crash
-    Then only that one is remembered
+    Then only that request is remembered
 
   Scenario Outline: A connection breaks at an instance that <state>
     # Guards against taking a truncated response, a reset link or a planned stop
@@ -64,7 +64,7 @@
   Scenario Outline: Harmful requests reach a fleet: <pattern>
     # Guards against a limit that loses instances or refuses harmless callers:
     # the users allow three instances for each harmful request.
-    When the fleet is played with <pattern>
+    When the fleet is simulated with <pattern>
     Then it loses at most 3 instances for each harmful request
     And it refuses at most 1 in 100 harmless requests
 
--- a/tests/features/domain_drains.feature
+++ b/tests/features/domain_drains.feature
@@ -7,7 +7,7 @@
     Given u3 in failure domain two
     When domain two is drained with <value>
     And 30 requests go to /safe/answer
-    Then u3 has got nothing
+    Then u3 has got no requests
     And each caller was served
 
     Examples:
@@ -42,7 +42,7 @@
   Scenario: A stream is in flight when its instance's domain is drained
     # Guards against responses that are cut off by a drain.
     When a stream is under way and domain one is drained
-    Then the stream ends whole
+    Then the stream is complete
 
   Scenario: A stream breaks in a drained domain
     # Guards against streams that are resumed in a drained domain.
@@ -57,15 +57,15 @@
     When domain two is drained with nothing
     And another gateway starts
     And 30 requests go to /safe/answer at the new gateway
-    Then u3 has got nothing
+    Then u3 has got no requests
 
   Scenario: The store becomes unavailable after a drain
     # Guards against drains that end when the store stops responding.
     Given u3 in failure domain two
     When domain two is drained with nothing
-    And the store falls silent
+    And the store stops responding
     And 30 requests go to /safe/answer
-    Then u3 has got nothing
+    Then u3 has got no requests
 
   Scenario: Stage work in a drained domain
     # Guards against calls for pieces, and notifications about their results,
@@ -82,7 +82,7 @@
     # their producer releases the results by itself after a while.
     Given two more gateways and an instance for stage work
     When domain one is drained at all gateways while its pieces are made
-    Then no result was given up at s1
+    Then no result was released at s1
 
   Scenario: Every instance for stage work is drained
     # Guards against requests that wait for pieces which no instance may
@@ -107,13 +107,13 @@
 
   Scenario: A gateway that cannot read the store is notified of a drain
     # Guards against drains that only gateways know to which the store responds.
-    When a gateway tells another of a drain
-    Then the other one gives the domain nothing
+    When a gateway notifies another of a drain
+    Then the other gateway sends the domain no work
 
   Scenario: Operators see what is drained and which instances warm up
     # Guards against operators that cannot see why a pool gets less work.
     Given u3 in failure domain two
-    And u1 warms up for 60 seconds, and bears 2 requests a second
+    And u1 warms up for 60 seconds, and is limited to 2 requests a second
     And a gateway that operators can ask
     When domain two is drained with nothing
     And operators ask ragworthctl for the instances of that gateway
--- a/tests/features/door.feature
+++ b/tests/features/door.feature
@@ -28,8 +28,8 @@
     Then its key appears in no log of any process
 
   Scenario Outline: A caller with invalid keys may not use <path>
-    When a stranger calls <method> <path>
-    Then the stranger is turned away
+    When an unauthenticated client calls <method> <path>
+    Then the unauthenticated client is refused
 
     Examples:
       | method | path                            |
--- a/tests/features/gateway.feature
+++ b/tests/features/gateway.feature
@@ -42,7 +42,7 @@
     When a caller posts to /unsafe/twice
     And the second answer has come
     And 20 callers post to /unsafe/answer
-    Then each of them got its own whole answer
+    Then each of them got its own complete response
 
   Scenario: Headers reserved for the system are not accepted from a caller
     # A caller that forges another organisation's name would run as that
@@ -79,7 +79,7 @@
   Scenario: A request is cancelled when its caller disconnects
     # The caller closes its connection while the upstream is working; the
     # upstream must see the close, or its work is wasted.
-    When a caller leaves while /safe/wait is worked on
+    When a caller disconnects while /safe/wait is worked on
     Then the upstream sees the connection close
 
   @fixture.log_lines
@@ -87,7 +87,7 @@
     # A caller waits for its whole time limit and disconnects.  Its engine was
     # unresponsive, but no log line named it, since the request had neither a
     # response nor a failure.
-    When a caller leaves while /safe/wait is worked on
+    When a caller disconnects while /safe/wait is worked on
     Then the log says that it waited for the instance that had its request
 
   Scenario: A request past its time limit is answered at once
@@ -95,7 +95,7 @@
     Then it gets status 504 and the request has run 1 times
 
   Scenario: An instance that reports its shutdown gets no new work
-    Given instance u1 announces that it leaves
+    Given instance u1 reports that it shuts down
     When the list has been read
     And 20 callers post to /safe/answer
     Then instance u1 got none of them
@@ -105,7 +105,7 @@
     # another instance.
     Given instance u1 was replaced at its address by another one
     When 10 callers post to /unsafe/answer
-    Then each of them got its own whole answer
+    Then each of them got its own complete response
 
   Scenario: A configuration becomes active although watches receive no update
     Given the store leaves watches waiting and drops its history
@@ -125,7 +125,7 @@
   Scenario: A foreign value that is not text does not stop updates
     # Reading everything returns keys of other writers, whose values may be any
     # bytes.  A gateway that fails on one would miss every later change.
-    Given another process keeps bytes that are no text in the store
+    Given another process writes bytes that are not text to the store
     When the operators add a route for /new/
     Then the gateway serves /new/answer within its bound
 
@@ -133,8 +133,8 @@
     # An outage of the store must not become an outage for callers.
     Given a store that <fault>
     When 10 callers post to /safe/answer
-    Then each of them got its own whole answer
-    And the gateway follows changes again after the fault
+    Then each of them got its own complete response
+    And the gateway applies changes again after the fault
 
     Examples:
       | fault               |
@@ -147,19 +147,19 @@
     # again within two seconds.  Dropping them at once would empty the pool.
     Given a store that was away and shows no instance when it returns
     When 10 callers post to /safe/answer
-    Then each of them got its own whole answer
+    Then each of them got its own complete response
 
   Scenario: A planned stop interrupts no request
     # Readiness turns negative at once; requests in flight and requests that
     # still arrive are served, and each response closes its connection.
     When the gateway is asked to stop while requests come
-    Then readiness is negative at once and every request is answered whole
+    Then readiness is negative at once and every request is answered completely
 
   Scenario: A planned stop lets a stream in flight complete
     # A gateway is replaced while it relays a dossier.  The connection must
     # outlive the quiet periods of the drain and close only after the end.
     When the gateway is asked to stop in the middle of /stream/pause
-    And the upstream then goes on
+    And the upstream then continues
     Then it gets all 5 events once, in order, and the end
 
   Scenario: A gateway serves after its first read of the store
@@ -173,10 +173,10 @@
     # return the custody chain of another caller's bale.
     Given two more gateways and an instance for stage work
     When 12 callers post to /staged/answer through all gateways
-    Then each of them got its own whole answer
+    Then each of them got its own complete response
     And each ran once with all inputs of its own
     And there were fewer calls for pieces than pieces
-    And all results are given up
+    And all results are released
 
   Scenario: A piece that fails is retried with the same inputs
     # One of many pieces of a late stage fails.  If the results of the stage
@@ -186,32 +186,32 @@
     And calls for pieces take 100 ms
     And the next 3 pieces of a second stage fail
     When 6 callers post to /staged/answer through all gateways
-    Then each of them got its own whole answer
+    Then each of them got its own complete response
 
   Scenario: The host of a scheduler is killed while it has pieces of others
     # The gateway that fills the calls of a pool is killed; gateways that sent
     # pieces to it get no response and must use another host.
     Given two more gateways and an instance for stage work
     And calls for pieces take 400 ms
-    When the host of the gate is killed while 6 callers wait for pieces
-    Then each of them got its own whole answer
+    When the host of the scheduler is killed while 6 callers wait for pieces
+    Then each of them got its own complete response
 
   Scenario: The host of a scheduler changes while pieces wait and run
     # The host stops regularly.  The new host must not send calls beside those
     # of the old one, and takes over the pieces that waited there.
     Given two more gateways and an instance for stage work
     And calls for pieces take 400 ms
-    When the host of the gate stops while 12 callers wait for pieces
-    Then each of them got its own whole answer
+    When the host of the scheduler stops while 12 callers wait for pieces
+    Then each of them got its own complete response
     And the instance never had two calls at a time
-    And all results are given up
+    And all results are released
 
   Scenario: Results are released through a gateway that is no longer the host
     # Guards against released results that are still counted as stored: when
     # the accounted space is full, every call is held back until they expire.
     Given two more gateways and an instance for stage work
-    When a result in the account of the host is given up through another gateway
-    Then it is given up once, and the host counts it no more
+    When a result counted by the host is released through another gateway
+    Then it is released once, and the host no longer counts it
 
   Scenario: A gateway that starts is known to one that is stopping
     # In a rolling restart the first gateway is back while the second still
@@ -219,7 +219,7 @@
     # itself, beside the host that all others have chosen.
     Given two more gateways and an instance for stage work
     When two gateways stop and another one starts meanwhile
-    Then the stopping ones take the new one or the third for the host
+    Then the stopping gateways choose the new or the third gateway as host
 
   Scenario: A gateway that starts while the store is unavailable refuses
     # Without a configuration it cannot authenticate callers: a 401 would turn
@@ -227,7 +227,7 @@
     Given a store that drops every call
     When a gateway starts
     Then it is not ready and answers 503
-    And it serves by itself once the store is back
+    And it serves without a restart once the store is available
 
   Scenario: All gateways restore their state from the store after a total loss
     Given two more gateways and an instance for stage work
@@ -239,7 +239,7 @@
     # own, the retries would double the load on a failing pool.
     Given two more gateways and an instance for stage work
     When 240 callers post to /safe/fail through all gateways
-    Then the pool got no more than 240 requests, a fifth of them and 100 again
+    Then the pool got no more than 240 requests, and a fifth of them and 100 as retries
 
   Scenario: A stop that reaches its limit answers what it cannot finish
     # A caller whose connection is cut does not learn the outcome.  A request
@@ -248,13 +248,13 @@
     # it may have run.
     Given a gateway with 5 s between TERM and its end
     When it is asked to stop while a caller waits for /unsafe/wait
-    And a stream is asked for late in the stop
+    And a stream is requested late in the stop
     Then the stream was refused as not run and the waiting caller got status 502
 
   Scenario Outline: A caller that <does> is disconnected
     # Callers that stop halfway, by fault or on purpose, would hold a connection
     # and its memory without end.
-    Given a configuration whose limits of time are 300 ms
+    Given a configuration whose time limits are 300 ms
     When a caller <does>
     Then the gateway ends its connection with status <status>
 
@@ -269,6 +269,6 @@
     # A caller that follows the new limit reuses a connection that was opened
     # under the old one.  If the gateway closed it by the old limit, the request
     # would cross the close and be lost.
-    Given a configuration whose limits of time are 700 ms
+    Given a configuration whose time limits are 700 ms
     When a caller has an answer and the limit then grows to 60000 ms
     Then the caller gets an answer on the same connection after the old limit
--- a/tests/features/grace_time.feature
+++ b/tests/features/grace_time.feature
@@ -5,7 +5,7 @@
     # whose clock stood still in suspend: it would continue to serve although
     # its grace time is over.
     When a process that serves a request without end stops and is suspended for <suspended_ms> ms, <after_ms> ms after it was asked to
-    Then it has given the request up before its grace time was over
+    Then it has cancelled the request before its grace time was over
 
     Examples:
       | suspended_ms | after_ms |
--- a/tests/features/homes.feature
+++ b/tests/features/homes.feature
@@ -34,5 +34,5 @@
   Scenario: Pieces of requests that have allowed regions
     # Guards against pieces that are processed in another region, by the first
     # idle instance or after an instance in an allowed region has failed.
-    When pieces at home in west wait for instances in east and west
-    Then those in west make them, also after one of these has failed
+    When pieces allowed in west wait for instances in east and west
+    Then the instances in west process them, also after one of them has failed
--- a/tests/features/host_choice.feature
+++ b/tests/features/host_choice.feature
@@ -6,19 +6,19 @@
     # two cores were idle.  Hosts had been chosen by name alone.
     Given 53 gateways of 0.4 cores and 20 Mbit/s, and 15 of 2.2 and 200
     When the hosts of 30 pools are chosen
-    Then each is a large one, and no gateway hosts more than 8 of them
+    Then each is a large gateway, and no gateway hosts more than 8 of them
 
   Scenario: Many cores behind a slow link
     # Pieces and the names of their results pass the link of the host.
     Given 4 gateways of 0.4 cores and 100 Mbit/s, and 2 of 2.2 and 1
     When the hosts of 30 pools are chosen
-    Then each is a small one, and no gateway hosts more than 15 of them
+    Then each is a small gateway, and no gateway hosts more than 15 of them
 
   Scenario: All large gateways are lost
     Given 53 gateways of 0.4 cores and 20 Mbit/s, and 15 of 2.2 and 200
-    And the large ones do not answer
+    And the large gateways do not respond
     When the hosts of 30 pools are chosen
-    Then each is a small one, and no gateway hosts more than 8 of them
+    Then each is a small gateway, and no gateway hosts more than 8 of them
 
   Scenario: Members with the same list choose the same hosts
     # Two hosts of one scheduler would fill the same instances without knowing
@@ -32,9 +32,9 @@
     # host and to the new one again: lists up to a second old each lacked what
     # the gateway had reported.  Calls were sent from two hosts meanwhile.
     Given 3 gateways of 0.4 cores and 20 Mbit/s, and 1 of 2.2 and 200
-    When a large one says at 1000 ms that it joins
+    When a large gateway reports at 1000 ms that it joins
     Then it stays a member after a list of 900 ms that lacks it
-    And it is none after a list of 1100 ms that lacks it
+    And it is no member after a list of 1100 ms that lacks it
 
   Scenario: Many pieces arrive while the members stay the same
     # A gateway of a large fleet ranked every member for each piece and for each
@@ -49,7 +49,7 @@
     # were pinged: at the next change of host they would choose another gateway
     # than all others.
     Given 15 gateways of 0.4 cores and 20 Mbit/s, and 6 of 2.2 and 200
-    And each gateway has found <silent> silent, and they answer again
+    And each gateway has found <silent> unresponsive, and they respond again
     When the hosts of 3 pools stop one after the other, each 2000 ms later
     Then all gateways have chosen the same hosts after each stop
 
--- a/tests/features/instance_entries.feature
+++ b/tests/features/instance_entries.feature
@@ -5,7 +5,7 @@
     # Other writers may use the same prefix of the store.  Such a record used to
     # be completed with defaults: requests were sent to an address where nothing
     # listens, and failed one after the other until it was suspected.
-    When an entry comes <change>
+    When a record arrives <change>
     Then it names no instance, and this is logged once
 
     Examples:
@@ -30,20 +30,20 @@
       | as nothing at all              |
 
   Scenario: Any foreign value leaves the records of instances intact
-    Then any bytes in one entry leave the others as they were
+    Then any bytes in one record leave the other records unchanged
 
   Scenario: An instance that starts again under its name is a new incarnation
     # A crashed instance is back two seconds later under its old name.  It was
     # avoided for eight seconds for failures of its earlier incarnation, and
     # counted as full of requests that had been lost with it.
-    Given an instance that failed 4 times with 3 requests of ours running
+    Given an instance that failed 4 times with 3 of our requests running
     When a list shows that it has started again
-    Then it is trusted and counted empty
+    Then it is no longer avoided and counted as idle
     And the end of a request at its earlier incarnation changes nothing
 
   Scenario: An instance that is listed as before is the same incarnation
     # A lapsed record returns after an outage of the store with the same start.
-    Given an instance that failed 4 times with 3 requests of ours running
+    Given an instance that failed 4 times with 3 of our requests running
     When a list shows it as before
     Then it is still avoided
 
@@ -53,6 +53,6 @@
     # hangs on an unresponsive connection for six seconds, in which the new
     # incarnation got no work, and lost results filled its result space.
     Given a stage instance with a call that hangs and results that fill it
-    When its entry shows a new start
+    When its record shows a new incarnation
     Then the call ends at once, its pieces are made by the new incarnation
-    And its space is free
+    And its result space is free
--- a/tests/features/late_service.feature
+++ b/tests/features/late_service.feature
@@ -6,18 +6,18 @@
     # pools were idle two seconds later.
     Given a request deferred at 0 ms that must begin by 4000 ms
     When the pools have capacity from 1500 ms on
-    Then its turn comes at 1500 ms
+    Then it starts at 1500 ms
 
   Scenario: A deferred request is refused when its caller would have left
     Given a request deferred at 0 ms that must begin by 4000 ms
     When the pools never have capacity
-    Then its refusal comes at 4050 ms
+    Then it is refused at 4050 ms
 
   Scenario: A request that could not start in time is not deferred at all
     # A caller that is deferred without a chance learns nothing for its whole
     # time limit.
     Given a request deferred at 0 ms that must begin by 0 ms
-    Then its refusal comes at 0 ms
+    Then it is refused at 0 ms
 
   Scenario: Deferred requests start one per ping, the most urgent first
     # Hosts report their waiting times with each ping.  All deferred requests
@@ -30,7 +30,7 @@
     # A pool has lost an instance permanently: deferred requests waited for
     # seconds only to be refused, and so would the next ones.
     Given a pool that is short for 20 s, with 8 late requests a second
-    Then of the last half at most one in ten was deferred in vain
+    Then of the last half at most one in ten was deferred without being served
     And 30 s later one is deferred again
 
   Scenario: A request waits for an instance of a pool that has none
@@ -38,12 +38,12 @@
     # seconds after it; requests meanwhile were refused twice and lost.
     Given a request deferred at 0 ms that must begin by 4000 ms
     When its pool has no instance until 900 ms
-    Then its turn comes at 900 ms
+    Then it starts at 900 ms
 
   Scenario: Serving late loses fewer requests and attains no less worth
     # Simulates bursts and the loss of an instance with the serving code, three
     # days each, on the load profile of the first users' calm day.
-    When the model plays bursts and the loss of an instance with deferral and without
+    When the model simulates bursts and the loss of an instance with deferral and without
     Then at most half as many requests are unserved with it
     And no less of the worth is attained
 
@@ -53,7 +53,7 @@
     # retries.
     Given a process without a configuration
     When a request comes with 6000 ms and the configuration 200 ms later
-    Then the request is judged by that configuration
+    Then the request is handled with that configuration
 
   Scenario: The wait for a first configuration ends
     Given a process without a configuration
--- a/tests/features/losses.feature
+++ b/tests/features/losses.feature
@@ -40,7 +40,7 @@
     And 1 was late
 
   Scenario: Foreign lines and prefixes of lines are tolerated
-    Given a log line behind a time and a name, and lines that are no JSON
+    Given a log line prefixed by a time and a name, and lines that are not JSON
     When an operator asks for the losses
     Then 0 of 1 requests were not served
 
--- a/tests/features/once_ownership.feature
+++ b/tests/features/once_ownership.feature
@@ -51,7 +51,7 @@
     # An owner hands ranges over, and the response to its write is lost while
     # the write is still in transit. If the owner ran a key of these ranges
     # meanwhile, the next owner would not know of it.
-    Given an owner whose hand-over is still on its way
+    Given an owner whose handover is still in transit
     When the owner is asked for keys of these ranges
     Then it refuses them until the record has changed
 
@@ -61,5 +61,5 @@
     # because their records differed, and every key of the pool was refused
     # until the platform was available again.
     Given members that know different records
-    When the platform is away for long
-    Then each of them is still certain of its keys
+    When the platform is unavailable for long
+    Then each member is still sure that it owns its keys
--- a/tests/features/overload.feature
+++ b/tests/features/overload.feature
@@ -4,31 +4,31 @@
     # Dossiers of ten thousand tokens were admitted with the time estimate of a
     # short note and missed their objective by the time that their engine needs
     # to read them.
-    When answers come 20 ms and 30 ms for each 1000 tokens after their request
+    When responses arrive 20 ms and 30 ms for each 1000 tokens after their request
     Then a prompt of 10000 tokens is expected to take about 320 ms
 
   Scenario: Too few responses give no estimate
-    When only 3 answers have come
+    When only 3 responses have arrived
     Then any prompt is expected to take 0 ms
 
   Scenario: A retrying caller is distinguished from a new one
     # A retrying caller states how long it will still wait, which is less than
     # at its first try.
-    Given a route whose callers come with 6000 ms
-    When one comes with 4700 ms and one with 5990 ms
+    Given a route whose callers have time limits of 6000 ms
+    When one caller has a time limit of 4700 ms and another of 5990 ms
     Then the first has waited 1300 ms and the second 0 ms
 
   Scenario: A new time limit of all callers is not mistaken for time waited
-    Given a route whose callers come with 6000 ms
-    When all callers come with 3000 ms from then on
-    Then they are soon taken for new ones
+    Given a route whose callers have time limits of 6000 ms
+    When all callers have time limits of 3000 ms from then on
+    Then they are soon treated as new callers
 
   Scenario: Callers with a shorter time limit are not mistaken for retrying ones
     # A third of a route's callers wait for half as long as the others. Mistaken
     # for late, they would be refused whenever there is a queue.
-    Given a route whose callers come with 6000 ms
-    When every third caller comes with 3000 ms
-    Then they are soon taken for new ones
+    Given a route whose callers have time limits of 6000 ms
+    When every third caller has a time limit of 3000 ms
+    Then they are soon treated as new callers
 
   Scenario: Announced work counts in a scheduler's expected waits
     # Requests reach their later stages hundreds of milliseconds after they were
@@ -39,14 +39,14 @@
     Then a new one of priority 1 expects 3 calls before it and one of 0 none
 
   Scenario: Work announced by a gateway is dropped when it becomes unresponsive
-    When a gateway announces 4 pieces and is silent for a second
+    When a gateway announces 4 pieces and is unresponsive for a second
     Then nothing of it counts
 
   Scenario: A reported wait has partly passed when a later stage starts
     # The queue of a later pool shrinks while the first stages run. Counting its
     # full length refuses requests that would be in time.
     Given a request of two stages of 240 ms each
-    When the second pool tells a wait of 300 ms
+    When the second pool reports a wait of 300 ms
     Then the request is expected to take 540 ms
 
   Scenario: Requests are served in time through bursts
@@ -54,22 +54,22 @@
     # pools that are three quarters full on a calm day. When only requests
     # expected to be late were refused, queues settled at the length of the
     # slack, and three requests in twenty were slightly late.
-    When the model plays bursts with the margin of admission and without it
+    When the model simulates bursts with and without the admission margin
     Then less of the worth is late with it, and no less is attained
 
   Scenario: A pool that lost an instance serves what it can, in time
     # One of three instances of the second pool is removed permanently. Requests
     # that the pool cannot serve in time are refused at once on arrival, or
     # served behind all others where there is a chance.
-    When the model plays the loss of an instance of gin-sync
+    When the model simulates the loss of an instance of gin-sync
     Then nine tenths of what a scheduler that knows everything reaches are attained
-    And less of it is late than without the margin of admission
-    And half of the first refusals that the door gives by itself come within an eighth of the objective
+    And less of it is late than without the admission margin
+    And half of the first refusals on arrival come within an eighth of the objective
 
   Scenario: After the loss of an instance each kind is served in time
     # The least urgent kind has the longest path of stages and is served late,
     # behind all others: its callers wait for twice its objective.
-    When the model plays the loss of an instance of gin-sync as it is served
+    When the model simulates the loss of an instance of gin-sync with default settings
     Then at most one request in ten of each kind is late
 
   Scenario: A slow instance is not trusted for the calls that it completes
--- a/tests/features/pieces.feature
+++ b/tests/features/pieces.feature
@@ -4,7 +4,7 @@
     # A call costs 200 ms beside 40 ms a piece: one call of four pieces takes
     # 360 ms, four calls of one piece 960 ms of the same instance.
     Given a pool of 1 instance with calls of 4 pieces
-    When 4 requests bring 1 piece each
+    When 4 requests submit 1 piece each
     Then one call carries all 4 pieces
 
   Scenario: The piece that is due first goes first
@@ -37,9 +37,9 @@
     # then returned for lack of space.
     Given a pool of 1 instance with calls of 4 pieces
     And space for 2 results at each instance
-    When 4 requests bring 1 piece each
+    When 4 requests submit 1 piece each
     Then one call carries 2 pieces and 2 wait
-    And the others follow once the results are freed
+    And the others follow once the results are released
 
   Scenario: A piece waits for an instance near its consumer, but not for long
     # A result that is read in another failure domain costs traffic between the
@@ -53,23 +53,23 @@
     # can retry, one that waits until its time limit cannot.
     Given a pool of 1 instance with calls of 1 piece
     When pieces due in 700 ms keep arriving
-    Then the gate expects those beyond the third to be late
+    Then the scheduler expects the pieces beyond the third to be late
 
   Scenario: Pieces of a disconnected caller are dropped
     Given a pool of 1 instance with calls of 1 piece
-    When a piece waits whose caller has left
+    When a piece waits whose caller has disconnected
     Then no call is made
 
   Scenario: Late work is abandoned only if nothing was spent on it
     Given a pool of 1 instance with calls of 1 piece
     When pieces that have missed their objective by a second wait
-    Then the one without work is given up and the one with inputs is not
+    Then the piece without work is abandoned and the piece with inputs is not
 
   Scenario: The accounting is right after any pieces, calls, releases, failures
     # Model check: no piece is in two calls at once, none is lost, no call is
     # larger than allowed, and no instance gets more results than it has
     # space for.
-    When any pieces come, calls end or fail and results are freed
+    When any pieces arrive, calls end or fail and results are released
     Then no piece is lost, doubled or beyond a limit
 
   Scenario: Under overload the less urgent are refused first
@@ -85,7 +85,7 @@
     # made twice; over seconds of restarts requests lost the work of their
     # stages.
     Given a pool of 1 instance with calls of 1 piece
-    And another gate of the pool told of a call that counts for 300 ms
+    And another scheduler of the pool reported a call that counts for 300 ms
     Then no call is made at 250 ms and one at 301 ms
 
   Scenario: A result that was released early takes no space
@@ -93,7 +93,7 @@
     # learns of the result from the previous host a moment later and would count
     # its space for seconds.
     Given a pool of 1 instance with calls of 1 piece
-    When a result is freed before the gate that had it made tells of it
+    When a result is released before the scheduler that requested it reports it
     Then it takes no space in the account
 
   Scenario Outline: A stage runs where it moves the fewest bytes
@@ -101,8 +101,8 @@
     # pieces and passes 60 kB to the engine: running it near the engine moved
     # ten times what running it near its inputs does. Light pieces run anywhere,
     # since waiting for a local instance would cost more than the bytes.
-    When a stage has <inputs> kB to read in domain one and <outputs> kB to hand to domain two
-    Then its pieces are best made in domain <domain>
+    When a stage has <inputs> kB to read in domain one and <outputs> kB to pass to domain two
+    Then its pieces are best processed in domain <domain>
 
     Examples:
       | inputs | outputs | domain   |
@@ -141,8 +141,8 @@
     # cause was space, stages kept whole or a wait for a local instance.
     Given a pool of 1 instance with calls of 4 pieces
     And space for <results> results at each instance
-    When <count> requests bring 1 piece each
-    Then the call tells that <limit> kept it from carrying more
+    When <count> requests submit 1 piece each
+    Then the call reports that <limit> kept it from carrying more
 
     Examples:
       | results | count | limit |
@@ -153,4 +153,4 @@
   Scenario: A call reports pieces that wait for a local instance
     Given a pool of 1 instance with calls of 4 pieces
     When 1 piece for its own domain and 1 for another that is idle soon wait
-    Then the call tells that held kept it from carrying more
+    Then the call reports that held kept it from carrying more
--- a/tests/features/quarantine.feature
+++ b/tests/features/quarantine.feature
@@ -7,10 +7,10 @@
     # other with every stream that they served: each try was a new request to
     # its gateway, and only the instance was avoided.
     Given two more gateways and an instance for stage work
-    And instances that crash come back under another name
+    And instances that crash restart under another name
     When a caller posts to /<path> 8 times, at each gateway in turn
     Then no more than 3 instances have crashed
-    And the last tries were refused as not run, to come back much later
+    And the last attempts were refused as not run, with a long retry delay
     And a caller posts to /safe/answer and is served at each gateway
 
     Examples:
@@ -23,7 +23,7 @@
     # crashed its instance was retried at two others, and again with each retry
     # of its caller.
     Given two more gateways and an instance for stage work
-    And instances for stage work that crash come back under another name
+    And instances for stage work that crash restart under another name
     When a caller posts 8 times to /staged/answer with pieces that crash
     Then no more than 3 instances have crashed
 
@@ -31,18 +31,18 @@
     # Guards against a harmless caller that is refused for minutes while the
     # operators can only watch.
     Given two more gateways and an instance for stage work
-    And instances that crash come back under another name
+    And instances that crash restart under another name
     And a gateway that operators can ask
     When a caller posts to /safe/crash 3 times, at each gateway in turn
     Then operators are shown the request and 2 crashes
-    When they have it released
+    When they release it
     Then it is quarantined at no gateway
 
   Scenario: All gateways are killed and restarted
     # Guards against crash evidence that is lost with the gateways: a harmful
     # request would crash as many instances again.
     Given two more gateways and an instance for stage work
-    And instances that crash come back under another name
+    And instances that crash restart under another name
     When a caller posts to /safe/crash 3 times, at each gateway in turn
     And the store holds 1 records of requests that are quarantined
     And all gateways are killed and started again
@@ -53,12 +53,12 @@
     # Guards against a request that is quarantined again after a restart
     # although an operator has released it.
     Given two more gateways and an instance for stage work
-    And instances that crash come back under another name
+    And instances that crash restart under another name
     And a gateway that operators can ask
     When a caller posts to /safe/crash 3 times, at each gateway in turn
     Then operators are shown the request and 2 crashes
     When the store holds 1 records of requests that are quarantined
-    And they have it released
+    And they release it
     Then the store holds 0 records of requests that are quarantined
 
   Scenario Outline: A popular <kind> request runs beside the harmful one
@@ -68,7 +68,7 @@
     Given two more gateways and an instance for stage work
     And one instance at a time for <pool> work
     When a harmful request crashes it 3 times while a popular one to <path> runs there
-    And the popular one ends well after each crash
+    And the popular request succeeds after each crash
     Then the popular request is served at each gateway
 
     Examples:
--- a/tests/features/soak.feature
+++ b/tests/features/soak.feature
@@ -6,7 +6,7 @@
   Scenario Outline: Seed <seed> on <deployment>
     # A fleet of real processes is killed, frozen, stopped and disconnected at
     # random while callers send and retry.
-    When <deployment> is broken at random from seed <seed> for 15 seconds
+    When <deployment> is disturbed at random from seed <seed> for 15 seconds
     Then nothing was lost, doubled, crossed, falsely refused or cut by a stop
     And nothing was reverted or violated
 
--- a/tests/features/steps/admission.py
+++ b/tests/features/steps/admission.py
@@ -155,7 +155,7 @@
     assert context.share > 0.9, context.share
 
 
-@when('the other comes back with its full share')
+@when('the other sends its full share again')
 def send_from_both_organisations(context):
     context.busy = _simulate(
         context.queue,
@@ -201,7 +201,7 @@
     context.enqueued = _enqueue(context, deadline_ms=380, worth=10)
 
 
-@then('calls of little worth make room for it')
+@then('calls of little worth are evicted for it')
 def check_evicted(context):
     assert isinstance(context.enqueued, Ok), context.enqueued
     assert context.enqueued.ok_value.evicted
@@ -213,7 +213,7 @@
     context.queue.shares = {'one': CapacityShare(guarantee=1)}
 
 
-@then('none of them has to go')
+@then('none of them is evicted')
 def check_none_evicted(context):
     waiting = context.queue.waiting
     assert context.enqueued.is_err(), context.enqueued
@@ -225,7 +225,7 @@
     context.enqueued = _enqueue(context, deadline_ms=300, worth=1)
 
 
-@then('it is refused as overloaded and told when to come back')
+@then('it is refused as overloaded and given a time to retry')
 def check_overloaded(context):
     rejection = context.enqueued.err_value
     assert rejection.reason == 'overloaded', rejection
--- a/tests/features/steps/answer_notices.py
+++ b/tests/features/steps/answer_notices.py
@@ -26,30 +26,30 @@
     return context.gateway_stage.upstreams[name]
 
 
-@given('the store is away')
+@given('the store is unavailable')
 def make_store_unavailable(context):
     context.gateway_stage.store.faults.active = {'down': 1}
 
 
-@when('the store is back and was read')
+@when('the store is available again and was read')
 def restore_store(context):
     stage = context.gateway_stage
     stage.store.faults.active = {}
     stage.run(stage.wait_reads(_STORE_READS))
 
 
-@given('{name:w} leaves, which only its answers say')
+@given('{name:w} shuts down, which only its responses report')
 def set_leaving(context, name):
     _get_upstream(context, name).notices = {'Server-Leaving': '1'}
 
 
-@given('u1 and u2 leave, which only their answers say')
+@given('u1 and u2 shut down, which only their responses report')
 def set_both_leaving(context):
     set_leaving(context, 'u1')
     set_leaving(context, 'u2')
 
 
-@given('{name:w} refuses and wants nothing for {seconds:g} seconds')
+@given('{name:w} refuses and asks to back off for {seconds:g} seconds')
 def refuse_with_retry_after(context, name, seconds):
     upstream = _get_upstream(context, name)
     upstream.notices = {'Retry-After': f'{seconds:g}'}
@@ -138,7 +138,7 @@
     ]
 
 
-@then('no gateway takes another for silent')
+@then('no gateway takes another for unresponsive')
 def check_none_unresponsive(context):
     for role in context.gateway_stage.gateways.values():
         assert not any(map(role.members.is_unresponsive, NAMES))
@@ -162,13 +162,13 @@
     ]
 
 
-@when('the gateways have told each other')
+@when('the gateways have notified each other')
 def wait_for_updates(context):
     stage = context.gateway_stage
     stage.run(stage.wait_reads(_STORE_READS))
 
 
-@when('it is under suspicion no more')
+@when('it is no longer suspected')
 def wait_until_not_suspect(context):
     stage = context.gateway_stage
     record = stage.get_context().load_tracker.get('u1')
@@ -177,7 +177,7 @@
     )
 
 
-@when('{name:w} has started again and is listed')
+@when('{name:w} has restarted and is listed')
 def restart_instance(context, name):
     stage = context.gateway_stage
     stage.store.faults.active = {}
@@ -192,7 +192,7 @@
     stage.run(stage.wait_for(is_listed))
 
 
-@when('{name:w} takes requests again and its time is over')
+@when('{name:w} accepts requests again and its back-off time is over')
 def resume_requests(context, name):
     stage = context.gateway_stage
     upstream = _get_upstream(context, name)
@@ -209,7 +209,7 @@
     )
 
 
-@then('{name:w} has got nothing since its answer')
+@then('{name:w} has got no work since its response')
 def check_no_new_work(context, name):
     upstream = _get_upstream(context, name)
     assert _count_work_requests(upstream) == context.answered[name], [
@@ -217,7 +217,7 @@
     ]
 
 
-@then('{name:w} has got work since its answer')
+@then('{name:w} has got work since its response')
 def check_new_work(context, name):
     assert (
         _count_work_requests(_get_upstream(context, name))
--- a/tests/features/steps/at_most_once.py
+++ b/tests/features/steps/at_most_once.py
@@ -72,7 +72,7 @@
     assert context.outcome == 'done', context.sent
 
 
-@when('a request is answered and asked again through another entry')
+@when('a request is answered and retried through another entry')
 def send_through_each_entry(context):
     stage = context.stage
     context.sent = stage.callers.make(_PIPELINE)
@@ -121,7 +121,7 @@
     assert context.sent.reasons[-1] == reason, context.sent
 
 
-@given('the ledger loses its answers')
+@given('the ledger loses its responses')
 def lose_ledger_answers(context):
     _set_faults(context, lose_answer=1)
 
@@ -131,7 +131,7 @@
     _set_faults(context, **{fault: 1})
 
 
-@given('the ledger behaves')
+@given('the ledger has no faults')
 def clear_ledger_faults(context):
     _set_faults(context)
 
@@ -141,14 +141,14 @@
     _set_faults(context, slow_ms=700)
 
 
-@when('it is asked again')
+@when('it is retried')
 def retry(context):
     context.outcome = context.stage.run(
         context.stage.callers.send(context.sent, stream=False),
     )
 
 
-@when('it is asked again until it has a final answer')
+@when('it is retried until it has a final response')
 def retry_until_final(context):
     deadline = time.monotonic() + _TIMEOUT_S
     while time.monotonic() < deadline:
@@ -214,7 +214,7 @@
         assert time.monotonic() < deadline, 'nobody took over'
 
 
-@when('the frozen owner wakes up')
+@when('the frozen owner resumes')
 def resume_owner(context):
     fleet = context.stage.fleet
     fleet.processes.send(context.frozen, signal.SIGCONT)
@@ -281,7 +281,10 @@
     )
 
 
-@when('the platform goes away while the frozen owner gets its ranges back')
+@when(
+    'the platform becomes unavailable while the frozen owner gets its ranges '
+    'back'
+)
 def stop_platform_during_move(context):
     stage = context.stage
     stage.run(_stop_platform_during_move(context, stage))
@@ -308,12 +311,12 @@
     await asyncio.gather(*sending)
 
 
-@when('the ledger behaves')
+@when('the ledger has no faults')
 def clear_ledger_faults_now(context):
     _set_faults(context)
 
 
-@when('the unanswered ones are asked again')
+@when('the unanswered requests are retried')
 def retry_unanswered(context):
     stage = context.stage
     unanswered = [
--- a/tests/features/steps/caller_limits.py
+++ b/tests/features/steps/caller_limits.py
@@ -25,7 +25,7 @@
 _TIMEOUT_S = 20
 
 
-@given('a configuration whose limits of time are {limit_ms:d} ms')
+@given('a configuration whose time limits are {limit_ms:d} ms')
 def set_time_limits(context, limit_ms):
     stage = context.gateway_stage
     limits = {
--- a/tests/features/steps/configuration_fleet.py
+++ b/tests/features/steps/configuration_fleet.py
@@ -102,7 +102,7 @@
     context.done = context.stage.run(apply_both())
 
 
-@then('both are accepted and in force in every process')
+@then('both are accepted and active in every process')
 def check_both_active(context):
     assert not any(completed.returncode for completed in context.done), (
         context.done
@@ -120,7 +120,7 @@
     context.done = _apply(context, 'pikselis', second)
 
 
-@then('the later one is told of a conflict that names {operator}')
+@then('the later one gets a conflict that names {operator}')
 def check_conflict(context, operator):
     assert not context.first.returncode, context.first
     assert context.done.returncode == 1, context.done
@@ -180,7 +180,7 @@
     context.stage.run(fleet.set_faults(fleet.plan.kv_port))
 
 
-@then('the change is accepted once and in force in every process')
+@then('the change is accepted once and active in every process')
 def check_applied_once(context):
     assert not context.done[0].returncode, context.done
     _wait_for_generation(context, context.before + 1)
@@ -204,7 +204,7 @@
     assert not context.done[0].returncode, context.done
 
 
-@then('the change is in force in every process')
+@then('the change is active in every process')
 def check_active_everywhere(context):
     _wait_for_generation(context, context.before + 1)
 
@@ -217,7 +217,7 @@
     fleet.start_daemon('capture-1')
 
 
-@given('the platform has come back')
+@given('the platform is available again')
 def restore_platform(context):
     fleet = context.stage.fleet
     context.stage.run(fleet.set_faults(fleet.plan.kv_port))
@@ -245,7 +245,7 @@
     assert not completed.returncode, completed
 
 
-@then('the change is in force in every process that runs')
+@then('the change is active in every process that runs')
 def check_active_in_running(context):
     names = [
         instance.name
@@ -330,7 +330,7 @@
     assert not completed.returncode, completed
 
 
-@then('every engine carries the new version')
+@then('every engine has loaded the new version')
 def check_engine_versions(context):
     fleet = context.stage.fleet
 
--- a/tests/features/steps/crash_evidence.py
+++ b/tests/features/steps/crash_evidence.py
@@ -54,7 +54,7 @@
     _record_crashes(context, count)
 
 
-@when('it ends well and is running in {count:d} further crashes')
+@when('it succeeds and is running in {count:d} further crashes')
 def succeed_then_crash(context, count):
     context.registry.clear(_FINGERPRINT, context.now_ms)
     _record_crashes(context, count)
@@ -76,7 +76,7 @@
     context.registry.record_crash('another', 'i9', context.now_ms)
 
 
-@then('only that one is remembered')
+@then('only that request is remembered')
 def check_forgotten(context):
     assert context.registry.count() == 1
     assert context.registry.get_record('another')
@@ -194,7 +194,10 @@
         ]
 
 
-@then('any exchange of any evidence ends in one verdict of all gateways')
+@then(
+    'any exchange of any evidence ends in the same quarantine decision of all '
+    'gateways'
+)
 def check_agreement(context):
     @settings(max_examples=200, derandomize=True, deadline=None)
     @for_all(_ACTIONS)
@@ -326,7 +329,7 @@
     assert fingerprint not in changed
 
 
-@when('the fleet is played with {pattern}')
+@when('the fleet is simulated with {pattern}')
 def simulate_fleet(context, pattern):
     context.crash_scenario = _SCENARIOS[pattern]
     context.counts = Counter()
--- a/tests/features/steps/domain_drains.py
+++ b/tests/features/steps/domain_drains.py
@@ -103,7 +103,7 @@
     stage.run(stage.wait_configured('g9'))
 
 
-@when('the store falls silent')
+@when('the store stops responding')
 def make_store_unavailable(context):
     context.gateway_stage.store.faults.active = {'down': 1}
 
@@ -172,7 +172,7 @@
     await sending
 
 
-@then('{name:w} has got nothing')
+@then('{name:w} has got no requests')
 @then('nothing has reached {name:w}')
 def check_no_arrivals(context, name):
     upstream = context.gateway_stage.upstreams[name]
@@ -217,14 +217,14 @@
     assert float(line.split()[-1]) == len(context.answers), line
 
 
-@then('the stream ends whole')
+@then('the stream is complete')
 def check_stream_complete(context):
     assert context.answer.status == 200
     assert context.answer.is_whole
     assert context.answer.body.count(b'data:') == _STREAM_EVENTS
 
 
-@then('no result was given up at {name:w}')
+@then('no result was released at {name:w}')
 def check_none_released(context, name):
     assert not context.gateway_stage.upstreams[name].freed
 
@@ -333,7 +333,7 @@
     assert len(context.last) == 1
 
 
-@when('a gateway tells another of a drain')
+@when('a gateway notifies another of a drain')
 def send_drain_update(context):
     sender, receiver = Replica(), Replica()
     listed = _make_entries('servers/i1')
@@ -358,7 +358,7 @@
     subscriber.apply_entries(receiver.view.entries, 5)
 
 
-@then('the other one gives the domain nothing')
+@then('the other gateway sends the domain no work')
 def check_drain_received(context):
     assert not context.directory.get_pool('p')
 
@@ -379,7 +379,7 @@
     assert 'warming_up  0 requests refused' in lines, lines
 
 
-@then('it says that {name:w} takes {limit:g} a second')
+@then('it shows that {name:w} accepts {limit:g} requests a second')
 def check_limited(context, name, limit):
     lines = context.output.splitlines()
     expected = f'{name}  plain  takes {limit:g} a second as of '
--- a/tests/features/steps/door.py
+++ b/tests/features/steps/door.py
@@ -93,7 +93,7 @@
         assert key not in stage.fleet.processes.read_log(name), name
 
 
-@when('a stranger calls {method} {path}')
+@when('an unauthenticated client calls {method} {path}')
 def call_with_wrong_keys(context, method, path):
     fleet = context.stage.fleet
 
@@ -117,12 +117,15 @@
     ]
 
 
-@then('the stranger is turned away')
+@then('the unauthenticated client is refused')
 def check_unauthorized(context):
     assert set(context.statuses) == {401}, context.statuses
 
 
-@then('the books of all callers are clean')
+@then(
+    'no request of any caller was lost, doubled, crossed or falsely reported '
+    'as not run'
+)
 def check_no_violations(context):
     stage = context.stage
     summary = stage.run(summarise(stage.fleet, stage.callers))
--- a/tests/features/steps/engine_orders.py
+++ b/tests/features/steps/engine_orders.py
@@ -38,7 +38,7 @@
     return context.stage.run(post())
 
 
-@given('every engine of lm-pool carries its models')
+@given('every engine of lm-pool has loaded its models')
 def wait_for_all_engines(context):
     for number in range(_ENGINE_COUNT):
         _wait_for_models(context, f'lm-pool-{number}')
@@ -59,7 +59,7 @@
     assert _get_models(context, context.engine)['models'] != _EXPECTED_MODELS
 
 
-@then('the engine soon carries its models again')
+@then('the engine has soon loaded its models again')
 def check_models(context):
     _wait_for_models(context, context.engine)
 
--- a/tests/features/steps/gate_hosts.py
+++ b/tests/features/steps/gate_hosts.py
@@ -19,7 +19,10 @@
     return _find_host_as_seen_by(stage, 'g1')
 
 
-@when('the host of the gate is killed while {count:d} callers wait for pieces')
+@when(
+    'the host of the scheduler is killed while {count:d} callers wait for '
+    'pieces'
+)
 def kill_host(context, count):
     stage = context.gateway_stage
     context.answers = stage.run(_kill_host(stage, count))
@@ -50,7 +53,7 @@
     return stage.gateways[host], sending
 
 
-@when('the host of the gate stops while {count:d} callers wait for pieces')
+@when('the host of the scheduler stops while {count:d} callers wait for pieces')
 def stop_host(context, count):
     stage = context.gateway_stage
     context.answers = stage.run(_stop_host(stage, count))
@@ -85,7 +88,7 @@
     return stage.gateways[name].members.get_members()
 
 
-@then('the stopping ones take the new one or the third for the host')
+@then('the stopping gateways choose the new or the third gateway as host')
 def check_new_host(context):
     stage = context.gateway_stage
     hosts = {
@@ -96,9 +99,7 @@
     assert hosts <= {'g3', 'g4'}, hosts
 
 
-@when(
-    'a result in the account of the host is given up through another gateway',
-)
+@when('a result counted by the host is released through another gateway')
 def release_elsewhere(context):
     context.gateway_stage.run(_release_elsewhere(context.gateway_stage))
 
@@ -140,7 +141,7 @@
     )
 
 
-@then('it is given up once, and the host counts it no more')
+@then('it is released once, and the host no longer counts it')
 def check_released_once(context):
     stage = context.gateway_stage
     assert len(stage.upstreams['s1'].freed) == 1
--- a/tests/features/steps/gateway.py
+++ b/tests/features/steps/gateway.py
@@ -80,7 +80,7 @@
     )
 
 
-@then('each of them got its own whole answer')
+@then('each of them got its own complete response')
 def check_own_responses(context):
     for response in context.answers:
         assert response.status == 200, response
@@ -164,7 +164,7 @@
     assert not context.answer.is_whole
 
 
-@when('a caller leaves while {path} is worked on')
+@when('a caller disconnects while {path} is worked on')
 def disconnect_caller(context, path):
     stage = context.gateway_stage
     stage.run(_disconnect_caller(stage, path))
@@ -201,7 +201,7 @@
     context.answer = stage.run(stage.send(path, limit_ms=limit_ms))
 
 
-@given('instance {name} announces that it leaves')
+@given('instance {name} reports that it shuts down')
 def announce_leaving(context, name):
     stage = context.gateway_stage
     stage.run(stage.show(name, 'plain', 'draining'))
@@ -304,7 +304,7 @@
     return b'instance_list_unavailable' in rendered
 
 
-@then('the gateway follows changes again after the fault')
+@then('the gateway applies changes again after the fault')
 def check_updates_resume(context):
     stage = context.gateway_stage
     stage.store.faults.active = {}
@@ -337,7 +337,7 @@
     return SimpleNamespace(readiness=readiness, responses=responses)
 
 
-@then('readiness is negative at once and every request is answered whole')
+@then('readiness is negative at once and every request is answered completely')
 def check_stop(context):
     outcome = context.stopping
     assert outcome.readiness == 503
@@ -362,7 +362,7 @@
     return streaming, asyncio.ensure_future(role.stop())
 
 
-@when('the upstream then goes on')
+@when('the upstream then continues')
 def resume_upstream(context):
     stage = context.gateway_stage
     stage.run(stage.wait_for(lambda: _is_past_balancer_lag(stage)))
--- a/tests/features/steps/gateway_fleet.py
+++ b/tests/features/steps/gateway_fleet.py
@@ -89,7 +89,7 @@
     assert len(calls) < pieces, calls
 
 
-@then('all results are given up')
+@then('all results are released')
 def check_released(context):
     stage = context.gateway_stage
     upstream = stage.upstreams['s1']
@@ -123,7 +123,7 @@
         return response.status
 
 
-@then('it serves by itself once the store is back')
+@then('it serves without a restart once the store is available')
 def check_recovered(context):
     stage = context.gateway_stage
     stage.store.faults.active = {}
@@ -166,8 +166,8 @@
 
 
 @then(
-    'the pool got no more than {count:d} requests, '
-    'a fifth of them and {slack:d} again',
+    'the pool got no more than {count:d} requests, and a fifth of them and '
+    '{slack:d} as retries'
 )
 def check_budget(context, count, slack):
     stage = context.gateway_stage
@@ -204,7 +204,7 @@
     return waiting, asyncio.ensure_future(role.stop())
 
 
-@when('a stream is asked for late in the stop')
+@when('a stream is requested late in the stop')
 def request_late_stream(context):
     context.late_response = context.gateway_stage.run(
         _request_late_stream(context.gateway_stage),
--- a/tests/features/steps/grace_time.py
+++ b/tests/features/steps/grace_time.py
@@ -48,7 +48,7 @@
     context.found = run_virtually(_shut_down(suspended_ms, after_ms))
 
 
-@then('it has given the request up before its grace time was over')
+@then('it has cancelled the request before its grace time was over')
 def check_aborted_in_time(context):
     assert context.found.is_aborted
     assert context.found.elapsed_ms < _GRACE_S * 1000, context.found.elapsed_ms
--- a/tests/features/steps/graceful_stop.py
+++ b/tests/features/steps/graceful_stop.py
@@ -30,7 +30,7 @@
     stage.run(restart_all())
 
 
-@then('no request was cut or unknown')
+@then('no request was interrupted or has an unknown outcome')
 def check_no_interruption(context):
     sent = stop_load(context)
     interrupted = [
--- a/tests/features/steps/hedging.py
+++ b/tests/features/steps/hedging.py
@@ -88,7 +88,7 @@
     )
 
 
-@when('the stage is given up')
+@when('the stage is aborted')
 def run_stage(context):
     context.work = StageWork(
         request=AdmittedRequest(
@@ -117,6 +117,6 @@
     assert outcome_found == outcome, outcome_found
 
 
-@then('no instance was looked for again and again')
+@then('no instance was searched for in a loop')
 def check_choose_count(context):
     assert context.pools.choose_count < 10, context.pools.choose_count
--- a/tests/features/steps/homes.py
+++ b/tests/features/steps/homes.py
@@ -106,7 +106,7 @@
     )
 
 
-@when('pieces at home in west wait for instances in east and west')
+@when('pieces allowed in west wait for instances in east and west')
 def run_pieces_in_allowed_region(context):
     instances = [
         _make_instance(number, region)
@@ -125,6 +125,6 @@
         scheduler.resubmit(waiting, call.instance.instance, instances)
 
 
-@then('those in west make them, also after one of these has failed')
+@then('the instances in west process them, also after one of them has failed')
 def check_producers(context):
     assert set(context.producers) == {'west-0', 'west-1'}, context.producers
--- a/tests/features/steps/host_choice.py
+++ b/tests/features/steps/host_choice.py
@@ -50,7 +50,7 @@
     return members
 
 
-@given('the large ones do not answer')
+@given('the large gateways do not respond')
 def mark_large_unresponsive(context):
     for member in context.listed:
         if member.instance.startswith('large'):
@@ -75,7 +75,10 @@
     return [own if one is None else one.instance for one in hosts]
 
 
-@then('each is a {kind:w} one, and no gateway hosts more than {most:d} of them')
+@then(
+    'each is a {kind:w} gateway, and no gateway hosts more than {most:d} of '
+    'them'
+)
 def check_hosts(context, kind, most):
     assert all(name.startswith(kind) for name in context.hosts), context.hosts
     busiest = collections.Counter(context.hosts).most_common(1)
@@ -109,7 +112,7 @@
     assert context.ranked == len(context.listed) + 1, context.ranked
 
 
-@when('a large one says at {now_ms:d} ms that it joins')
+@when('a large gateway reports at {now_ms:d} ms that it joins')
 def join_large_gateway(context, now_ms):
     context.joined = _make_member('large-new', 2.2, 200)
     context.members.apply_change(MemberChange(member=context.joined), now_ms)
@@ -121,7 +124,7 @@
     assert 'large-new' in context.members.get_members()
 
 
-@then('it is none after a list of {proved_ms:d} ms that lacks it')
+@then('it is no member after a list of {proved_ms:d} ms that lacks it')
 def check_dropped(context, proved_ms):
     context.members.replace(context.listed, proved_ms)
     assert 'large-new' not in context.members.get_members()
@@ -135,7 +138,7 @@
 }
 
 
-@given('each gateway has found {what} silent, and they answer again')
+@given('each gateway has found {what} unresponsive, and they respond again')
 def mark_others_unresponsive(context, what):
     context.fleet = {
         member.instance: _make_members(context, member)
--- a/tests/features/steps/instance_entries.py
+++ b/tests/features/steps/instance_entries.py
@@ -101,7 +101,7 @@
     }
 
 
-@when('an entry comes {change}')
+@when('a record arrives {change}')
 def receive_entry(context, change):
     subscriber, context.directory = _make_subscriber()
     entries = _make_entries(
@@ -136,7 +136,7 @@
 )
 
 
-@then('any bytes in one entry leave the others as they were')
+@then('any bytes in one record leave the other records unchanged')
 def check_others_unaffected(context):
     @settings(max_examples=300, deadline=None, derandomize=True)
     @for_all(text=_RECORD_TEXTS)
@@ -167,8 +167,8 @@
 
 
 @given(
-    'an instance that failed {failures:d} times '
-    'with {running:d} requests of ours running',
+    'an instance that failed {failures:d} times with {running:d} of our '
+    'requests running'
 )
 def create_failed_instance(context, failures, running):
     context.book = LoadTracker()
@@ -190,7 +190,7 @@
     context.subscriber.apply_instances([_make_instance(1000)], 1000)
 
 
-@then('it is trusted and counted empty')
+@then('it is no longer avoided and counted as idle')
 def check_reset(context):
     record = context.book.get('i1')
     assert record.suspect_until_ms < 0
@@ -263,7 +263,7 @@
     stage.run(stage.wait_for(lambda: context.sent))
 
 
-@when('its entry shows a new start')
+@when('its record shows a new incarnation')
 def list_new_incarnation(context):
     stage = context.gateway_stage
     _list_stage_instance(stage, 5000)
@@ -281,7 +281,7 @@
     assert record.failures == 0, record
 
 
-@then('its space is free')
+@then('its result space is free')
 def check_space_free(context):
     scheduler = context.service.get_schedulers().get('stage')
     handles = [result.handle for result in scheduler.result_space.pop_all()]
--- a/tests/features/steps/lapsed_entries.py
+++ b/tests/features/steps/lapsed_entries.py
@@ -126,8 +126,8 @@
 
 
 @when(
-    'the entries of live instances lapse in it '
-    'and are back {back_ms:d} ms after its end',
+    'the records of live instances expire in it and are written again '
+    '{back_ms:d} ms after its end'
 )
 def expire_entries(context, back_ms):
     context.dropped = []
--- a/tests/features/steps/late_service.py
+++ b/tests/features/steps/late_service.py
@@ -115,14 +115,14 @@
     _run_one_request(context)
 
 
-@then('its turn comes at {at_ms:d} ms')
+@then('it starts at {at_ms:d} ms')
 def check_started(context, at_ms):
     assert context.stage.decisions['one'] == (True, at_ms), (
         context.stage.decisions
     )
 
 
-@then('its refusal comes at {at_ms:d} ms')
+@then('it is refused at {at_ms:d} ms')
 def check_refused(context, at_ms):
     if not context.stage.decisions:
         _run_one_request(context)
@@ -181,7 +181,7 @@
     await asyncio.gather(*tasks)
 
 
-@then('of the last half at most one in ten was deferred in vain')
+@then('of the last half at most one in ten was deferred without being served')
 def check_few_deferred(context):
     decisions = list(context.stage.decisions.items())
     waited = [
@@ -204,8 +204,8 @@
 
 
 @when(
-    'the model plays bursts and the loss of an instance '
-    'with deferral and without',
+    'the model simulates bursts and the loss of an instance with deferral and '
+    'without'
 )
 def play_both(context):
     context.with_deferral = _play_days(())
@@ -304,7 +304,7 @@
     _admit_request(context, limit_ms, None)
 
 
-@then('the request is judged by that configuration')
+@then('the request is handled with that configuration')
 def check_configuration_applied(context):
     assert isinstance(context.answer, Err)
     assert context.answer.err_value.reason is Reason.unknown_route
--- a/tests/features/steps/losses.py
+++ b/tests/features/steps/losses.py
@@ -57,7 +57,7 @@
     assert f', {late} late' in summary_line, summary_line
 
 
-@given('a log line behind a time and a name, and lines that are no JSON')
+@given('a log line prefixed by a time and a name, and lines that are not JSON')
 def write_mixed_lines(context):
     line = _render_line(event='request_ended', request_id='a', status=200)
     context.log_lines = [f'12.5 gateway-1 {line}', 'Traceback', '{broken', '{}']
--- a/tests/features/steps/lost_calls.py
+++ b/tests/features/steps/lost_calls.py
@@ -65,17 +65,17 @@
     context.ended_ms = context.loop.get_ms()
 
 
-@when('its instance says that it {state}')
+@when('its instance reports that it {state}')
 def report_busy_state(context, state):
     _monitor_call(context, _REPORTED_BUSY[state])
 
 
-@when('its instance does not say')
+@when('its instance does not report its state')
 def report_nothing(context):
     _monitor_call(context, None)
 
 
-@then('the call is given up as lost')
+@then('the call is abandoned as lost')
 def check_lost(context):
     assert context.is_lost
     # Queried once the call is a quarter overdue; the 50 ms are for a response
@@ -83,7 +83,7 @@
     assert context.ended_ms == 300 * 1.25 + 50, context.ended_ms
 
 
-@then('the call is noted as slow once and ends with its answer')
+@then('the call is recorded as slow once and ends with its response')
 def check_slow(context):
     assert not context.is_lost
     assert context.has_response
@@ -110,7 +110,7 @@
     )
 
 
-@when('the answer to a call of {count:d} pieces is lost')
+@when('the response to a call of {count:d} pieces is lost')
 def lose_response(context, count):
     context.pool = PiecePool(1, 4)
     for _ in range(count):
@@ -132,13 +132,13 @@
         )
 
 
-@then('its instance is trusted, its pieces wait again')
+@then('its instance is not suspected and its pieces are queued again')
 def check_trusted(context):
     assert context.pool.book.get('i0').suspect_until_ms < 0
     assert context.pool.gate.get_depth() == 2
 
 
-@then('its space counts {count:d} results more')
+@then('its result space counts {count:d} more results')
 def check_counted(context, count):
     used = context.pool.gate.result_space.get_used_bytes(0)
     assert used == {'i0': count * RESULT_BYTES}, used
@@ -169,7 +169,7 @@
     context.requester_tracker.record_ping('g2', 'later', 100)
 
 
-@then('its results are given up and its pieces are wanted no more')
+@then('its results are released and its pieces are no longer awaited')
 def check_released(context):
     (terminated,) = context.requester_tracker.pop_terminated(100)
     scheduler = context.pool.gate
@@ -179,7 +179,7 @@
     assert not context.requester_tracker.pop_terminated(100)
 
 
-@then('it counts as gone only after more than a second of silence')
+@then('it counts as terminated only after more than a second without a ping')
 def check_terminated_when_silent(context):
     assert not context.requester_tracker.pop_terminated(1000)
     context.requester_tracker.record_ping('g2', 'earlier', 1000)
@@ -187,7 +187,7 @@
     assert context.requester_tracker.pop_terminated(2001) == ['earlier']
 
 
-@given('results of which 2 of 3 are still held')
+@given('results of which 2 of 3 are still in use')
 def hold_results(context):
     context.results_in_use = ResultsInUse()
     for handle in ('a', 'b', 'c'):
@@ -207,7 +207,7 @@
     assert not context.results_in_use.collect_for_host('p', 'host', 0)
 
 
-@when('the gate has another host')
+@when('the scheduler has another host')
 def change_host(context):
     context.reported_results = [
         context.results_in_use.collect_for_host('p', 'next', 0)
@@ -215,7 +215,7 @@
     ]
 
 
-@then('that host is told of 2 results, and of none the next time')
+@then('that host is notified of 2 results, and of none the next time')
 def check_reported(context):
     first, second = context.reported_results
     assert [result.handle for result in first] == ['a', 'c'], first
@@ -246,7 +246,7 @@
         assert len(call.pieces) == 4
 
 
-@when('the near instance is busy and a piece for it is due at once')
+@when('the local instance is busy and a piece for it is due at once')
 def queue_urgent_piece(context):
     scheduler = context.pool.gate
     for number in range(4):
@@ -259,13 +259,13 @@
     (context.call,) = context.pool.plan(1)
 
 
-@then('the other instance makes it first')
+@then('the other instance processes it first')
 def check_urgent(context):
     assert context.call.instance.failure_domain == 'one'
     assert context.call.pieces[0].piece.failure_domain == 'two'
 
 
-@given('members of which the first in rank for a pool answers')
+@given('members of which the first in rank for a pool responds')
 def make_members(context):
     context.members = GatewayMembers(instance='g0')
     context.members.replace(
@@ -301,14 +301,14 @@
     return 'g0' if host is None else host.instance
 
 
-@when('it says that it knows no instances')
+@when('it reports that it knows no instances')
 def report_no_instances(context):
     _apply_host_state(context, can_host=True)
     assert _find_host(context) == context.first.instance
     _apply_host_state(context, can_host=False)
 
 
-@then('the next in rank hosts the gate')
+@then('the next in rank hosts the scheduler')
 def check_next_host(context):
     assert _find_host(context) != context.first.instance
 
@@ -319,7 +319,7 @@
     assert _find_host(context) == context.first.instance
 
 
-@when('the loop of a gateway that follows the store ends by an error')
+@when('the loop of a gateway that polls the store ends with an error')
 def end_loop(context):
     context.shutdown_requests = []
     asyncio.run(_end_loop(context.shutdown_requests))
@@ -349,6 +349,6 @@
     raise ValueError
 
 
-@then('the gateway asks to be stopped')
+@then('the gateway requests its shutdown')
 def check_shutdown_requested(context):
     assert context.shutdown_requests == [True]
--- a/tests/features/steps/named_limits.py
+++ b/tests/features/steps/named_limits.py
@@ -51,8 +51,8 @@
     return limit_per_s * _WINDOW_S * _BURST_RATIO + _BURST_SLACK
 
 
-@given('{name:w} names a limit of {limit_per_s:g} request a second')
-@given('{name:w} names a limit of {limit_per_s:g} requests a second')
+@given('{name:w} advertises a limit of {limit_per_s:g} request a second')
+@given('{name:w} advertises a limit of {limit_per_s:g} requests a second')
 def advertise_limit(context, name, limit_per_s):
     upstream = context.gateway_stage.upstreams[name]
     upstream.notices = {_LIMIT_HEADER: f'{limit_per_s:g}'}
@@ -95,12 +95,12 @@
     )
 
 
-@given('{name:w} answers with a limit of {text}')
+@given('{name:w} responds with a limit of {text}')
 def respond_with_limit(context, name, text):
     context.gateway_stage.upstreams[name].notices = {_LIMIT_HEADER: text}
 
 
-@when('{name:w} names no limit any more')
+@when('{name:w} no longer advertises a limit')
 def stop_advertising(context, name):
     context.gateway_stage.upstreams[name].notices = {}
 
@@ -178,8 +178,8 @@
 
 
 @when(
-    '{gateways:d} gateways send to a pool that names limits of {limit:g},'
-    ' and {what}',
+    '{gateways:d} gateways send to a pool that advertises limits of {limit:g}, '
+    'and {what}'
 )
 def simulate_sharing(context, gateways, limit, what):
     context.limit = limit
@@ -187,8 +187,8 @@
 
 
 @when(
-    '{gateways:d} gateways send {variant} to a pool that names limits of'
-    ' {limit:g}',
+    '{gateways:d} gateways send {variant} to a pool that advertises limits of '
+    '{limit:g}'
 )
 def simulate_wrong_policy(context, gateways, variant, limit):
     context.limit = limit
@@ -213,7 +213,7 @@
     assert most > compute_max_requests(context.limit), most
 
 
-@then('the pool gets at least {part:g} of what it takes')
+@then('the pool gets at least {part:g} of what it accepts')
 def check_used(context, part):
     used = min(result.used for result in context.results)
     assert used >= part, used
@@ -228,8 +228,7 @@
 
 
 @then(
-    'a higher limit is believed only after an answer that is younger for'
-    ' certain',
+    'a higher limit is applied only after a response that is certainly fresher'
 )
 def check_order(context):
     @_EXAMPLES
@@ -271,7 +270,7 @@
     assert limits.find('u1@0', 12_000) == _make_limit(1, 1_000, 2_000)
 
 
-@then('each is told in turn, those that have changed first')
+@then('each limit is sent in turn, changed limits first')
 def check_sent_in_turn(context):
     limits = AdvertisedLimits()
     max_limits = global_settings.MAX_LIMITS_PER_MESSAGE
@@ -287,7 +286,7 @@
     assert len(sent) == 3 * max_limits, len(sent)
 
 
-@then('it ends some time after the last answer')
+@then('it expires some time after the last response')
 def check_expiry(context):
     limits = AdvertisedLimits()
     limits.record('u1@0', _make_limit(1, 0, 10))
--- a/tests/features/steps/once_ownership.py
+++ b/tests/features/steps/once_ownership.py
@@ -96,7 +96,7 @@
     assert model.effects == {'key': 1}, model.effects
 
 
-@given('an owner whose hand-over is still on its way')
+@given('an owner whose handover is still in transit')
 def delay_handover(context):
     model = Model()
     model.sidecars[2].paused = True
@@ -166,14 +166,14 @@
     assert len(epochs) > 1, epochs
 
 
-@when('the platform is away for long')
+@when('the platform is unavailable for long')
 def disconnect_all(context):
     for sidecar in context.model.sidecars:
         sidecar.cut = True
     context.model.run_for(15_000)
 
 
-@then('each of them is still certain of its keys')
+@then('each member is still sure that it owns its keys')
 def check_members_certain(context):
     model = context.model
     for sidecar in model.sidecars:
--- a/tests/features/steps/overload.py
+++ b/tests/features/steps/overload.py
@@ -50,12 +50,14 @@
     return latency
 
 
-@when('answers come 20 ms and 30 ms for each 1000 tokens after their request')
+@when(
+    'responses arrive 20 ms and 30 ms for each 1000 tokens after their request'
+)
 def record_many_responses(context):
     context.first_event_latency = _record_responses(60)
 
 
-@when('only {count:d} answers have come')
+@when('only {count:d} responses have arrived')
 def record_few_responses(context, count):
     context.first_event_latency = _record_responses(count)
 
@@ -71,14 +73,17 @@
     assert context.first_event_latency.estimate_ms(10_000) == 0
 
 
-@given('a route whose callers come with {limit_ms:d} ms')
+@given('a route whose callers have time limits of {limit_ms:d} ms')
 def record_typical_limit(context, limit_ms):
     context.typical_limits = TypicalTimeLimits()
     for number in range(25):
         context.typical_limits.record(_ROUTE, limit_ms - number % 9)
 
 
-@when('one comes with {first_ms:d} ms and one with {second_ms:d} ms')
+@when(
+    'one caller has a time limit of {first_ms:d} ms and another of '
+    '{second_ms:d} ms'
+)
 def record_two_limits(context, first_ms, second_ms):
     context.waited_ms = [
         context.typical_limits.record(_ROUTE, limit_ms)
@@ -94,14 +99,14 @@
     assert found_second_ms == second_ms
 
 
-@when('all callers come with {limit_ms:d} ms from then on')
+@when('all callers have time limits of {limit_ms:d} ms from then on')
 def change_time_limit(context, limit_ms):
     context.waited_ms = [
         context.typical_limits.record(_ROUTE, limit_ms) for _ in range(25)
     ]
 
 
-@when('every third caller comes with {limit_ms:d} ms')
+@when('every third caller has a time limit of {limit_ms:d} ms')
 def mix_time_limits(context, limit_ms):
     context.waited_ms = []
     for number in range(75):
@@ -114,7 +119,7 @@
             context.waited_ms.append(waited_ms)
 
 
-@then('they are soon taken for new ones')
+@then('they are soon treated as new callers')
 def check_taken_for_new(context):
     taken_for_retries = [
         waited_ms for waited_ms in context.waited_ms if waited_ms
@@ -145,7 +150,7 @@
     assert waits_ms[0] == 0, waits_ms
 
 
-@when('a gateway announces {count:d} pieces and is silent for a second')
+@when('a gateway announces {count:d} pieces and is unresponsive for a second')
 def announce_and_wait(context, count):
     context.announcements = PeerAnnouncements()
     context.announcements.record('g2', {'p': [count]}, 0)
@@ -213,7 +218,7 @@
     )
 
 
-@when('the second pool tells a wait of {wait_ms:d} ms')
+@when('the second pool reports a wait of {wait_ms:d} ms')
 def report_wait(context, wait_ms):
     estimate = LatencyEstimate(job=context.job, first_event_ms=0)
     context.lateness_ms = estimate.estimate_lateness_ms({'second': wait_ms})
@@ -229,7 +234,7 @@
     ), context.lateness_ms
 
 
-@when('the model plays bursts with the margin of admission and without it')
+@when('the model simulates bursts with and without the admission margin')
 def play_margins(context):
     context.with_margin = play_all(
         _make_trials('bursts', _NO_DEFERRAL),
@@ -247,7 +252,7 @@
     assert _get_attained(context.with_margin) >= _get_attained(context.without)
 
 
-@when('the model plays the loss of an instance of {pool:S}')
+@when('the model simulates the loss of an instance of {pool:S}')
 def play_loss(context, pool):
     context.trials = _make_trials(f'lost-{pool}')
     context.days = [play_records(trial) for trial in context.trials]
@@ -264,7 +269,7 @@
         assert attained >= 0.9 * bound, (attained, bound)
 
 
-@then('less of it is late than without the margin of admission')
+@then('less of it is late than without the admission margin')
 def check_less_late(context):
     with_margin = play_all(context.trials, _JOBS)
     pattern = context.trials[0].pattern
@@ -273,8 +278,8 @@
 
 
 @then(
-    'half of the first refusals that the door gives by itself '
-    'come within an eighth of the objective',
+    'half of the first refusals on arrival come within an eighth of the '
+    'objective'
 )
 def check_prompt_refusals(context):
     pattern = context.trials[0].pattern
@@ -311,7 +316,10 @@
     return statistics.mean(report.attained for report in reports)
 
 
-@when('the model plays the loss of an instance of {pool:S} as it is served')
+@when(
+    'the model simulates the loss of an instance of {pool:S} with default '
+    'settings'
+)
 def play_loss_served(context, pool):
     context.days = [
         play_records(trial) for trial in _make_trials(f'lost-{pool}')
--- a/tests/features/steps/piece_space.py
+++ b/tests/features/steps/piece_space.py
@@ -17,7 +17,10 @@
 )
 
 
-@given('another gate of the pool told of a call that counts for {left_ms:d} ms')
+@given(
+    'another scheduler of the pool reported a call that counts for {left_ms:d} '
+    'ms'
+)
 def record_remote_call(context, left_ms):
     call = RemoteCall(
         instance='i0',
@@ -35,7 +38,7 @@
     assert call.instance.instance == 'i0'
 
 
-@when('a result is freed before the gate that had it made tells of it')
+@when('a result is released before the scheduler that requested it reports it')
 def release_early(context):
     scheduler = context.pool.gate
     assert not scheduler.result_space.release('h0', 0)
@@ -55,8 +58,8 @@
 
 
 @when(
-    'a stage has {inputs:d} kB to read in domain one '
-    'and {outputs:d} kB to hand to domain two',
+    'a stage has {inputs:d} kB to read in domain one and {outputs:d} kB to '
+    'pass to domain two'
 )
 def choose_domain(context, inputs, outputs):
     context.domain = choose_local_domain(
@@ -64,7 +67,7 @@
     )
 
 
-@then('its pieces are best made in domain {domain}')
+@then('its pieces are best processed in domain {domain}')
 def check_domain(context, domain):
     assert context.domain == ('' if domain == 'anywhere' else domain)
 
@@ -121,7 +124,7 @@
     assert len(carried) == first + last, carried
 
 
-@then('the call tells that {limit} kept it from carrying more')
+@then('the call reports that {limit} kept it from carrying more')
 def check_limit(context, limit):
     (call,) = context.calls
     assert call.limit == limit, call.limit
--- a/tests/features/steps/pieces.py
+++ b/tests/features/steps/pieces.py
@@ -35,7 +35,7 @@
     context.pool.profile = make_profile(4, results)
 
 
-@when('{count:d} requests bring 1 piece each')
+@when('{count:d} requests submit 1 piece each')
 def queue_pieces(context, count):
     for number in range(count):
         context.pool.gate.submit(make_waiting(500 + number))
@@ -99,7 +99,7 @@
     assert context.pool.gate.get_depth() == left
 
 
-@then('the others follow once the results are freed')
+@then('the others follow once the results are released')
 def check_after_release(context):
     scheduler = context.pool.gate
     (call,) = context.calls
@@ -157,13 +157,13 @@
         pool.plan()
 
 
-@then('the gate expects those beyond the third to be late')
+@then('the scheduler expects the pieces beyond the third to be late')
 def check_lateness(context):
     late = [late_ms > 0 for late_ms in context.lateness]
     assert late == [False, False, False, False, True, True], context.lateness
 
 
-@when('a piece waits whose caller has left')
+@when('a piece waits whose caller has disconnected')
 def queue_unawaited_piece(context):
     waiting = make_waiting(500)
     context.pool.gate.submit(waiting)
@@ -187,7 +187,7 @@
     context.pool.plan(1000)
 
 
-@then('the one without work is given up and the one with inputs is not')
+@then('the piece without work is abandoned and the piece with inputs is not')
 def check_not_run(context):
     (result,) = context.piece_results
     assert result.outcome is PieceOutcome.not_run
@@ -205,7 +205,7 @@
 )
 
 
-@when('any pieces come, calls end or fail and results are freed')
+@when('any pieces arrive, calls end or fail and results are released')
 def explore(context):
     context.checked = 0
 
--- a/tests/features/steps/popular_requests.py
+++ b/tests/features/steps/popular_requests.py
@@ -118,7 +118,7 @@
     context.crashes = count
 
 
-@when('the popular one ends well after each crash')
+@when('the popular request succeeds after each crash')
 def crash_and_send_again(context):
     stage = context.gateway_stage
     stage.run(_crash_repeatedly(stage, context.popular, context.crashes))
--- a/tests/features/steps/quarantine.py
+++ b/tests/features/steps/quarantine.py
@@ -28,14 +28,14 @@
     listed: set[str]
 
 
-@given('instances that crash come back under another name')
+@given('instances that crash restart under another name')
 def prepare_instances(context):
     stage = context.gateway_stage
     context.crashing_pool = _CrashingPool(pool='plain', listed={'u1', 'u2'})
     stage.run(_replace_crashed(stage, context.crashing_pool))
 
 
-@given('instances for stage work that crash come back under another name')
+@given('instances for stage work that crash restart under another name')
 def prepare_stage_instances(context):
     stage = context.gateway_stage
     context.crashing_pool = _CrashingPool(pool='stage', listed={'s1'})
@@ -106,7 +106,7 @@
     assert len(crashed) <= count, crashed
 
 
-@then('the last tries were refused as not run, to come back much later')
+@then('the last attempts were refused as not run, with a long retry delay')
 def check_refusals(context):
     for response in context.answers[-_LAST_ATTEMPTS:]:
         assert response.status == 503, response
@@ -143,7 +143,7 @@
     assert len(crashes) == count, output
 
 
-@when('they have it released')
+@when('they release it')
 def release_request(context):
     stage = context.gateway_stage
     stage.run(
--- a/tests/features/steps/soak.py
+++ b/tests/features/steps/soak.py
@@ -8,7 +8,8 @@
 
 
 @when(
-    '{deployment} is broken at random from seed {seed:d} for {span:d} seconds'
+    '{deployment} is disturbed at random from seed {seed:d} for {span:d} '
+    'seconds'
 )
 def run_with_random_faults(context, deployment, seed, span):
     context.summary = asyncio.run(run_soak(deployment, seed, span))
--- a/tests/features/steps/store_bounds.py
+++ b/tests/features/steps/store_bounds.py
@@ -137,7 +137,7 @@
     )
 
 
-@given('a store whose watches fall silent at any moment')
+@given('a store whose watches stop reporting at any moment')
 def mute_watches(context):
     context.case = SimpleNamespace(
         size_bytes=1,
@@ -184,6 +184,6 @@
     explore()
 
 
-@then('it is in force within {bound_ms:d} ms')
+@then('it is active within {bound_ms:d} ms')
 def check_active(context, bound_ms):
     assert max(context.waits_ms) <= bound_ms, max(context.waits_ms)
--- a/tests/features/steps/store_news.py
+++ b/tests/features/steps/store_news.py
@@ -39,8 +39,8 @@
 
 
 @given(
-    '{count:d} gateways that ask the same three, '
-    'and a bound of {bound_ms:d} ms',
+    '{count:d} gateways that poll the same three, and a bound of {bound_ms:d} '
+    'ms'
 )
 def make_plan(context, count, bound_ms):
     context.plan = FleetPlan(gateways=count, bound_ms=bound_ms)
@@ -68,8 +68,8 @@
 
 
 @given(
-    "the store's watches hear nothing for {length_s:d} s "
-    'and lose their history',
+    "the store's watches report nothing for {length_s:d} s and lose their "
+    'history'
 )
 def interrupt_watches(context, length_s):
     moves = (
@@ -134,13 +134,16 @@
     assert not any(outcome.went_back for outcome in context.outcomes)
 
 
-@then('no answer to a ping is larger than {size:d} bytes')
+@then('no response to a ping is larger than {size:d} bytes')
 def check_response_size(context, size):
     (outcome,) = context.outcomes
     assert outcome.largest_answer_bytes <= size, outcome.largest_answer_bytes
 
 
-@when('the paces for bounds from {least_ms:d} to {most_ms:d} ms are derived')
+@when(
+    'the poll intervals for bounds from {least_ms:d} to {most_ms:d} ms are '
+    'derived'
+)
 def derive_intervals(context, least_ms, most_ms):
     context.intervals = {
         bound_ms: derive_poll_intervals(
@@ -166,7 +169,7 @@
             )
 
 
-@then('no outage that lets entries lapse goes unnoticed')
+@then('no outage in which records expire goes unnoticed')
 def check_outage_noticed(context):
     # A record lapses after three missed heartbeats; one may just be due.
     lapse_ms = 2 * global_settings.INSTANCE_HEARTBEAT_MS
@@ -177,12 +180,15 @@
         assert noticed_ms <= lapse_ms, intervals
 
 
-@when('gateways read, ask and hear in any order, also late')
+@when('gateways read, request and receive updates in any order, also late')
 def explore_orders(context):
     context.are_correct = _explore('')
 
 
-@when('gateways that {fault} read, ask and hear in any order, also late')
+@when(
+    'gateways that {fault} read, request and receive updates in any order, '
+    'also late'
+)
 def explore_faulty_orders(context, fault):
     context.are_correct = _explore(fault)
 
@@ -204,11 +210,13 @@
     return outcomes
 
 
-@then('each copy is a state that the store had, and its evidence is true')
+@then(
+    'each replica is a state that the store had, and its freshness is correct'
+)
 def check_all_correct(context):
     assert all(context.are_correct)
 
 
-@then('a copy is no state that the store had, or its evidence is false')
+@then('a replica is no state that the store had, or its freshness is wrong')
 def check_fault_detected(context):
     assert not all(context.are_correct)
--- a/tests/features/steps/store_reads.py
+++ b/tests/features/steps/store_reads.py
@@ -43,6 +43,6 @@
     assert reads <= _count_polls(stage) - context.polls_before + 1, reads
 
 
-@given('another process keeps bytes that are no text in the store')
+@given('another process writes bytes that are not text to the store')
 def store_binary_value(context):
     context.gateway_stage.store.put_bytes('status/other', bytes((255, 254)))
--- a/tests/features/steps/store_restored.py
+++ b/tests/features/steps/store_restored.py
@@ -60,7 +60,7 @@
 _EXAMPLES = settings(max_examples=300, deadline=None, derandomize=True)
 
 
-@given('the store was copied, and has gone on for {count:d} revisions')
+@given('the store was backed up, and has advanced by {count:d} revisions')
 def write_after_backup(context, count):
     stage = context.gateway_stage
     context.backup = stage.store.save()
@@ -76,7 +76,7 @@
     stage.run(write())
 
 
-@when('the store comes back from its copy')
+@when('the store is restored from its backup')
 def restore_store(context):
     context.gateway_stage.store.restore(context.backup)
 
@@ -137,14 +137,14 @@
     stage.run(stage.write({_DRAIN_KEY: None}))
 
 
-@given('the entry of {name:w} has said that it leaves')
+@given('the record of {name:w} has reported that it shuts down')
 def mark_leaving(context, name):
     stage = context.gateway_stage
     stage.run(stage.show(name, 'plain', state='draining'))
     _wait_until_removed(stage, name)
 
 
-@given('the entry of {name:w} was removed')
+@given('the record of {name:w} was removed')
 def remove_entry(context, name):
     stage = context.gateway_stage
     stage.run(stage.hide(name))
@@ -156,7 +156,7 @@
     stage.run(stage.wait_for(lambda: directory.get(name) is None))
 
 
-@when('{name:w} writes its entry again')
+@when('{name:w} writes its record again')
 def write_entry(context, name):
     stage = context.gateway_stage
     stage.run(stage.show(name, 'plain'))
@@ -199,12 +199,12 @@
     stage.run(stage.wait_for(lambda: _GATEWAY_KEY in stage.store.entries))
 
 
-@then('version {version:d} is in force')
+@then('version {version:d} is active')
 def check_version(context, version):
     _check_version(context, version, 'g1')
 
 
-@then('version {version:d} is in force there')
+@then('version {version:d} is active there')
 def check_version_there(context, version):
     _check_version(context, version, 'g2')
 
@@ -273,7 +273,8 @@
 
 
 @then(
-    'a lost key holds for a while, and a version until the store has caught up',
+    'a lost key is retained for a while, and a version until the store has '
+    'caught up'
 )
 def check_retention(context):
     drain = Stored(text='{}', mod_revision=7)
@@ -305,7 +306,7 @@
     )
 
 
-@then('a later right has the higher fencing number')
+@then('a later grant has the higher fencing number')
 def check_fencing_numbers(context):
     before = StorePosition(timeline=1, revision=900)
     after = StorePosition(timeline=2, revision=20)
@@ -350,7 +351,7 @@
                     getattr(self.session, move)(*filter(None, (key,)))
 
 
-@when('a store is written, copied, restored and silent in any order')
+@when('a store is written, backed up, restored and unresponsive in any order')
 def explore_restores(context):
     outcomes = []
 
@@ -365,7 +366,7 @@
     context.outcomes = outcomes
 
 
-@then('the gateway holds what the store holds after each poll that is answered')
+@then('the replica matches the store after each poll that is answered')
 def check_same(context):
     assert all(context.outcomes), context.outcomes.count(False)
 
@@ -387,7 +388,10 @@
     return outcomes
 
 
-@when('the store is restored while gateways read, ask and hear in any order')
+@when(
+    'the store is restored while gateways read, request and receive updates in '
+    'any order'
+)
 def explore_updates(context):
     context.outcomes = _explore_updates('')
 
@@ -397,11 +401,11 @@
     context.outcomes = _explore_updates(fault)
 
 
-@then('each copy is a state of the store, and no version is undone')
+@then('each replica is a state of the store, and no version is undone')
 def check_all_correct(context):
     assert all(context.outcomes), context.outcomes.count(False)
 
 
-@then('a copy is no state of the store, or a version is undone')
+@then('a replica is no state of the store, or a version is undone')
 def check_fault_detected(context):
     assert not all(context.outcomes)
--- a/tests/features/steps/store_view.py
+++ b/tests/features/steps/store_view.py
@@ -98,21 +98,24 @@
     return outcomes
 
 
-@when('a store is written, falls silent and drops its history in any order')
+@when(
+    'a store is written, stops reporting changes and drops its history in any '
+    'order'
+)
 def explore_polls(context):
     context.outcomes = _explore(StoreClient)
 
 
-@when('a gateway that goes on from the revision of each answer follows them')
+@when('a gateway that continues from the revision of each response polls them')
 def explore_polls_skipping_revisions(context):
     context.outcomes = _explore(_RevisionSkippingClient)
 
 
-@then("the gateway's copy is the store's after each poll that is answered")
+@then("the gateway's replica equals the store after each poll that is answered")
 def check_same(context):
     assert all(context.outcomes)
 
 
-@then("its copy differs from the store's")
+@then('its replica differs from the store')
 def check_differs(context):
     assert not all(context.outcomes)
--- a/tests/features/steps/streams.py
+++ b/tests/features/steps/streams.py
@@ -34,7 +34,7 @@
     return sum(engine[field] for engine in counts)
 
 
-@given('three of five engines break their next stream off')
+@given('three of five engines disconnect in their next stream')
 def break_streams(context):
     _inject_engine_faults(context, truncate=1, left=1)
 
@@ -106,7 +106,7 @@
     ), lines
 
 
-@when('a caller leaves after the first token')
+@when('a caller disconnects after the first token')
 def disconnect_from_stream(context):
     fleet = context.stage.fleet
 
--- a/tests/features/steps/thin_links.py
+++ b/tests/features/steps/thin_links.py
@@ -47,7 +47,7 @@
         _write_version(context, count, version=10 + number)
 
 
-@step('the gateway takes the configuration')
+@step('the gateway applies the configuration')
 def wait_for_configuration(context):
     stage = context.gateway_stage
     stage.run(stage.wait_configured())
@@ -98,7 +98,7 @@
     context.peer_bytes_per_s = mbit_per_s * BYTES_PER_MBIT
 
 
-@when('a process asks it for {size_kb:d} kB of configuration')
+@when('a process requests {size_kb:d} kB of configuration from it')
 def pull_configuration(context, size_kb):
     text = 'x' * size_kb * 1000
     body = msgspec.json.encode(Snapshot(files_by_sha256={'some': text}))
@@ -107,7 +107,7 @@
     )
 
 
-@when('a process asks it for the instances of a fleet of {count:d}')
+@when('a process requests the instances of a fleet of {count:d} from it')
 def poll_instances(context, count):
     instance_list = InstanceList(
         revision=1,
@@ -127,7 +127,7 @@
     )
 
 
-@then('the answer is taken')
+@then('the response is accepted')
 def check_accepted(context):
     assert context.is_accepted
 
--- a/tests/features/steps/upstreams.py
+++ b/tests/features/steps/upstreams.py
@@ -197,7 +197,7 @@
         context.book.record_failure(f'i{number}', 0)
 
 
-@then('one of them is chosen all the same')
+@then('one of them is still chosen')
 def check_chosen(context):
     instances = [_make_instance(0), _make_instance(1)]
     assert _choose(instances, context.book) is not None
--- a/tests/features/steps/warm_up.py
+++ b/tests/features/steps/warm_up.py
@@ -101,7 +101,8 @@
 
 
 @then(
-    'a gateway that is no longer listed sends nothing until it has settled',
+    'a gateway that is no longer listed sends nothing until the propagation '
+    'time has passed'
 )
 def check_propagation(context):
     senders = make_throttle('g1').senders
@@ -115,7 +116,7 @@
     assert senders.is_chosen('i1', 3, 30_000 + SETTLE_MS)
 
 
-@then('the longest of both times holds')
+@then('the longer of both times applies')
 def check_longest(context):
     warm_ups = make_throttle().warm_ups
     warm_ups.record('i1@1', 3000)
@@ -126,7 +127,7 @@
     assert not warm_ups.get_remaining_ms('i1@2', 500)
 
 
-@then('the one that was told of last is remembered, however old it is')
+@then('the instance that was reported last is tracked, however old it is')
 def check_remembered(context):
     warm_ups = make_throttle().warm_ups
     warm_ups.record_entry('old@1', 0)
@@ -175,13 +176,15 @@
     )
 
 
-@given('instances that bear 2 requests a second while they warm up')
+@given('instances that are limited to 2 requests a second while they warm up')
 def configure_warm_up(context):
     stage = context.gateway_stage
     stage.run(_configure(stage))
 
 
-@given('u1 and u2 warm up for 60 seconds, and bear 2 requests a second')
+@given(
+    'u1 and u2 warm up for 60 seconds, and are limited to 2 requests a second'
+)
 def warm_up_both(context):
     configure_warm_up(context)
     stage = context.gateway_stage
@@ -189,14 +192,14 @@
         stage.run(_report_warm_up(stage, name, _WARM_UP_MS))
 
 
-@given('u1 warms up for 60 seconds, and bears 2 requests a second')
+@given('u1 warms up for 60 seconds, and is limited to 2 requests a second')
 def warm_up_one(context):
     configure_warm_up(context)
     stage = context.gateway_stage
     stage.run(_report_warm_up(stage, 'u1', _WARM_UP_MS))
 
 
-@given('u1 and u2 have become cold, which only their answers say')
+@given('u1 and u2 have become cold, which only their responses report')
 def respond_as_cold(context):
     for name in ('u1', 'u2'):
         context.gateway_stage.upstreams[name].notices = {
@@ -204,7 +207,7 @@
         }
 
 
-@when('the entries of u1 and u2 say that they are warm')
+@when('the records of u1 and u2 report that they are warm')
 def report_as_warm(context):
     stage = context.gateway_stage
     for name in ('u1', 'u2'):
@@ -225,7 +228,7 @@
     await stage.wait_for(lambda: len(directory.get_pool('plain')) == 2)
 
 
-@when('callers have got an answer of u1 and of u2')
+@when('callers have got a response from u1 and from u2')
 def send_until_both_respond(context):
     stage = context.gateway_stage
     upstreams = [stage.upstreams[name] for name in ('u1', 'u2')]
--- a/tests/features/store_bounds.feature
+++ b/tests/features/store_bounds.feature
@@ -27,7 +27,7 @@
     # than its timeout.
     Given a configuration of <size_kb> kB, a link of 5 Mbit/s and one lost call
     When it changes at any moment
-    Then it is in force within 3000 ms
+    Then it is active within 3000 ms
 
     Examples:
       | size_kb |
@@ -38,9 +38,9 @@
     # An instance left in the second in which the store's watches reported
     # nothing, before the watch history was dropped; it got requests until the
     # watches worked again.
-    Given a store whose watches fall silent at any moment
+    Given a store whose watches stop reporting at any moment
     When a change is accepted at any moment after that
-    Then it is in force within 1300 ms
+    Then it is active within 1300 ms
 
   Scenario Outline: An instance leaves some time after an outage
     # Records that expired in an outage are kept for a while after its end. An
@@ -60,7 +60,7 @@
     # were dropped, and requests refused, until the instances had written their
     # records again.
     Given a bound of <bound> ms and an outage of any length
-    When the entries of live instances lapse in it and are back 1000 ms after its end
+    When the records of live instances expire in it and are written again 1000 ms after its end
     Then none is ever dropped
 
     Examples:
--- a/tests/features/thin_links.feature
+++ b/tests/features/thin_links.feature
@@ -25,7 +25,7 @@
     # callers' requests and responses need as well.
     Given a store behind a link of 5 Mbit/s
     When the operators add 1400 routes
-    And the gateway takes the configuration
+    And the gateway applies the configuration
     Then 10 further polls carry less than one configuration
 
   Scenario: Large configurations follow each other faster than they transfer
@@ -34,7 +34,7 @@
     # would never become active.
     Given a store behind a link of 5 Mbit/s
     When the operators add 1400 routes in each of 8 versions
-    Then the gateway takes the configuration
+    Then the gateway applies the configuration
     And it received no more than 3 configurations
 
   Scenario: The store stops sending in the middle of a response
@@ -42,15 +42,15 @@
     # its response must not keep the gateway from polling again.
     Given the store stops in the middle of one answer
     When the operators add 1400 routes
-    Then the gateway takes the configuration
+    Then the gateway applies the configuration
 
   Scenario Outline: A peer of the fleet is behind a slow link
     # Where members publish their files through the system itself, a process
     # requests missing files from a peer. A peer with a large generation sent it
     # until the timeout for an unresponsive peer, again and again.
     Given a peer that answers at 2 Mbit/s
-    When a process asks it for <what>
-    Then the answer is taken
+    When a process requests <what> from it
+    Then the response is accepted
 
     Examples:
       | what                               |
--- a/tests/features/upstreams.feature
+++ b/tests/features/upstreams.feature
@@ -57,7 +57,7 @@
 
   Scenario: When every instance is suspect, one of them is still chosen
     When all instances fail
-    Then one of them is chosen all the same
+    Then one of them is still chosen
 
   Scenario: The longest prefix wins, whatever routes there are
     Then for any routes the match is the longest prefix that begins the path
--- a/tests/features/warm_up.feature
+++ b/tests/features/warm_up.feature
@@ -49,23 +49,23 @@
   Scenario: The leases of all gateways expired in an outage
     # Guards against gateways that choose the senders from a list in which
     # hardly any gateway is registered again.
-    Then a gateway that is no longer listed sends nothing until it has settled
+    Then a gateway that is no longer listed sends nothing until the propagation time has passed
 
   Scenario: A record is older than the response of the instance
     # Guards against an older record that overrides what the instance has
     # stated.
-    Then the longest of both times holds
+    Then the longer of both times applies
 
   Scenario: More instances have started than are tracked
     # Guards against an instance that is taken for warm because it has run for
     # longer than most others.
-    Then the one that was told of last is remembered, however old it is
+    Then the instance that was reported last is tracked, however old it is
 
   @each.gateway
   Scenario: Every instance of a pool warms up
     # Guards against callers that are queued for instances which have reached
     # their warm-up rate, without being told when to retry.
-    Given u1 and u2 warm up for 60 seconds, and bear 2 requests a second
+    Given u1 and u2 warm up for 60 seconds, and are limited to 2 requests a second
     When 12 callers post to /safe/answer at the same time
     Then some were served, and the others refused at once as not run
     And neither u1 nor u2 got more than 2 requests
@@ -74,7 +74,7 @@
   Scenario: One instance of a pool warms up
     # Guards against refusals while another instance may get any number of
     # requests.
-    Given u1 warms up for 60 seconds, and bears 2 requests a second
+    Given u1 warms up for 60 seconds, and is limited to 2 requests a second
     When 12 callers post to /safe/answer at the same time
     Then all of them were served
     And u1 got no more than 2 requests
@@ -82,8 +82,8 @@
   @each.gateway
   Scenario: An instance is warm before its time is over
     # Guards against instances that are limited for longer than they state.
-    Given u1 and u2 warm up for 60 seconds, and bear 2 requests a second
-    When the entries of u1 and u2 say that they are warm
+    Given u1 and u2 warm up for 60 seconds, and are limited to 2 requests a second
+    When the records of u1 and u2 report that they are warm
     And 12 callers post to /safe/answer at the same time
     Then all of them were served
 
@@ -91,7 +91,7 @@
   Scenario: A failure domain is restored
     # Guards against overloading instances that became cold while their domain
     # was drained, before their records state it.
-    Given instances that bear 2 requests a second while they warm up
+    Given instances that are limited to 2 requests a second while they warm up
     When domain one was drained and is restored
     And 12 callers post to /safe/answer at the same time
     Then neither u1 nor u2 got more than 2 requests
@@ -100,9 +100,9 @@
   Scenario: An instance states in a response that it has become cold
     # Guards against overloading an instance whose record still states that it
     # is warm.
-    Given instances that bear 2 requests a second while they warm up
-    And u1 and u2 have become cold, which only their answers say
-    When callers have got an answer of u1 and of u2
+    Given instances that are limited to 2 requests a second while they warm up
+    And u1 and u2 have become cold, which only their responses report
+    When callers have got a response from u1 and from u2
     And 12 callers post to /safe/answer at the same time
     Then neither u1 nor u2 got more than 2 requests after that
 
@@ -111,6 +111,6 @@
     # Guards against stage work that is discarded where a short wait would have
     # been in time.
     Given two more gateways and an instance for stage work
-    And u1 and u2 warm up for 60 seconds, and bear 2 requests a second
+    And u1 and u2 warm up for 60 seconds, and are limited to 2 requests a second
     When 3 callers bring stage work to a gateway that may send
     Then all of them were served
