--- a/tests/features/steps/answer_notices.py
+++ b/tests/features/steps/answer_notices.py
@@ -3,7 +3,7 @@
 from behave import given, then, when
 
 from ragworthollow.utils import get_monotonic_ms
-from tests.fixtures.staged import NAMES, send_staged
+from tests.fixtures.staged import GATEWAY_NAMES, send_stage_requests
 from tests.standins.upstream import UpstreamStandin
 
 _MAX_ATTEMPTS = 40
@@ -11,7 +11,7 @@
 _NON_WORK_PATHS = frozenset(('/api/stage-free', '/api/report'))
 # Read attempts of all gateways together, failed reads included.  They take
 # longer than an update needs to reach a gateway from another gateway.
-_STORE_READS = 2 * len(NAMES)
+_STORE_READS = 2 * len(GATEWAY_NAMES)
 _RESTARTED_UNIX_MS = 1_900_000_000_000
 
 
@@ -35,12 +35,12 @@
 def restore_store(context):
     stage = context.gateway_stage
     stage.store.faults.active = {}
-    stage.run(stage.wait_reads(_STORE_READS))
+    stage.run(stage.wait_for_reads(_STORE_READS))
 
 
 @given('{name:w} shuts down, which only its responses report')
 def set_leaving(context, name):
-    _get_upstream(context, name).notices = {'Server-Leaving': '1'}
+    _get_upstream(context, name).response_headers = {'Server-Leaving': '1'}
 
 
 @given('u1 and u2 shut down, which only their responses report')
@@ -52,7 +52,7 @@
 @given('{name:w} refuses and asks to back off for {seconds:g} seconds')
 def refuse_with_retry_after(context, name, seconds):
     upstream = _get_upstream(context, name)
-    upstream.notices = {'Retry-After': f'{seconds:g}'}
+    upstream.response_headers = {'Retry-After': f'{seconds:g}'}
     upstream.is_refusing = True
 
 
@@ -60,7 +60,7 @@
 def add_instance(context):
     stage = context.gateway_stage
     stage.run(stage.add_upstream('s2', 'stage'))
-    directories = [stage.get_context(name).directory for name in NAMES]
+    directories = [stage.get_context(name).directory for name in GATEWAY_NAMES]
     stage.run(
         stage.wait_for(
             lambda: all(
@@ -108,14 +108,14 @@
     for _ in range(_MAX_ATTEMPTS):
         if upstream.calls:
             break
-        stage.run(send_staged(stage, 1, '/staged/answer'))
+        stage.run(send_stage_requests(stage, 1, '/staged/answer'))
     _record_work_count(context, name)
 
 
 @when('{count:d} more callers post stage work through all gateways')
 def send_pieces(context, count):
     stage = context.gateway_stage
-    stage.run(send_staged(stage, count, '/staged/answer'))
+    stage.run(send_stage_requests(stage, count, '/staged/answer'))
 
 
 @when('{count:d} impatient callers post stage work through all gateways')
@@ -129,7 +129,7 @@
         stage.run(
             stage.send(
                 '/staged/answer',
-                gateway=NAMES[number % len(NAMES)],
+                gateway=GATEWAY_NAMES[number % len(GATEWAY_NAMES)],
                 headers=headers,
                 limit_ms=_SHORT_TIMEOUT_MS,
             ),
@@ -141,7 +141,7 @@
 @then('no gateway takes another for unresponsive')
 def check_none_unresponsive(context):
     for role in context.gateway_stage.gateways.values():
-        assert not any(map(role.members.is_unresponsive, NAMES))
+        assert not any(map(role.members.is_unresponsive, GATEWAY_NAMES))
 
 
 @when('{count:d} more callers post to {path:S}')
@@ -151,7 +151,7 @@
 
 @when('{count:d} more callers post to {path:S} at each gateway')
 def send_everywhere(context, count, path):
-    for gateway in NAMES:
+    for gateway in GATEWAY_NAMES:
         _send(context, path, count, gateway)
 
 
@@ -165,7 +165,7 @@
 @when('the gateways have notified each other')
 def wait_for_updates(context):
     stage = context.gateway_stage
-    stage.run(stage.wait_reads(_STORE_READS))
+    stage.run(stage.wait_for_reads(_STORE_READS))
 
 
 @when('it is no longer suspected')
@@ -181,8 +181,8 @@
 def restart_instance(context, name):
     stage = context.gateway_stage
     stage.store.faults.active = {}
-    _get_upstream(context, name).notices = {}
-    stage.run(stage.show(name, 'plain', born=_RESTARTED_UNIX_MS))
+    _get_upstream(context, name).response_headers = {}
+    stage.run(stage.publish_instance(name, 'plain', born=_RESTARTED_UNIX_MS))
     directory = stage.get_context().directory
 
     def is_listed():
@@ -196,7 +196,7 @@
 def resume_requests(context, name):
     stage = context.gateway_stage
     upstream = _get_upstream(context, name)
-    upstream.notices = {}
+    upstream.response_headers = {}
     upstream.is_refusing = False
     directory = stage.get_context().directory
     stage.run(
--- a/tests/features/steps/caller_limits.py
+++ b/tests/features/steps/caller_limits.py
@@ -5,12 +5,12 @@
 from behave import given, then, when
 
 from ragworthollow.routes import RequestLimits
-from tests.fixtures.gateways import HOST, KEY
+from tests.fixtures.gateways import API_KEY, HOST
 
 _HEAD = (
     'POST /safe/answer HTTP/1.1\r\n'
     'Host: service.example\r\n'
-    f'Authorization: Bearer {KEY}\r\n'
+    f'Authorization: Bearer {API_KEY}\r\n'
     'X-Ragworthollow-Request-Id: slow-caller\r\n'
     'X-Ragworthollow-Deadline-Ms: 300\r\n'
     'Content-Length: 4\r\n\r\n'
@@ -35,7 +35,7 @@
         'idle_timeout_ms': limit_ms,
     }
     stage.run(stage.configure(version=7, limits=limits))
-    stage.run(stage.wait_configured())
+    stage.run(stage.wait_for_configuration())
     context.old_limit_ms = limit_ms
 
 
--- a/tests/features/steps/domain_drains.py
+++ b/tests/features/steps/domain_drains.py
@@ -20,8 +20,8 @@
 from ragworthollow_daemon.gateway.piece_service import PieceService
 from tests.fixtures.commands import run_command
 from tests.fixtures.gateways import make_settings
-from tests.fixtures.piece_pool import make_waiting
-from tests.fixtures.staged import send_staged
+from tests.fixtures.piece_pool import make_waiting_piece
+from tests.fixtures.staged import send_stage_requests
 from tests.fixtures.throttles import make_throttle
 
 _DRAIN_PREFIX = 'op/evacuate/'
@@ -80,7 +80,7 @@
 def replace_s1(context):
     stage = context.gateway_stage
     stage.run(stage.add_upstream('s2', 'stage', failure_domain='two'))
-    stage.run(stage.hide('s1'))
+    stage.run(stage.remove_instance('s1'))
     stage.run(_wait_for_pool(stage, 'stage', {'s2'}))
 
 
@@ -100,7 +100,7 @@
 def add_gateway(context):
     stage = context.gateway_stage
     stage.run(stage.add_gateway('g9'))
-    stage.run(stage.wait_configured('g9'))
+    stage.run(stage.wait_for_configuration('g9'))
 
 
 @when('the store stops responding')
@@ -136,7 +136,9 @@
     stage = context.gateway_stage
     loop = stage.loop
     began_s = loop.time()
-    context.answers = stage.run(send_staged(stage, count, '/staged/answer'))
+    context.answers = stage.run(
+        send_stage_requests(stage, count, '/staged/answer')
+    )
     for response in context.answers:
         response.took_s = loop.time() - began_s
 
@@ -154,7 +156,7 @@
     await stage.wait_for(lambda: any(upstream.runs for upstream in upstreams))
     await _drain(stage, 'one', '')
     for upstream in upstreams:
-        upstream.may_go_on.set()
+        upstream.resume_event.set()
     return await sending
 
 
@@ -166,7 +168,9 @@
 async def _drain_during_pieces(stage) -> None:
     producer = stage.upstreams['s1']
     producer.piece_ms = 300
-    sending = asyncio.ensure_future(send_staged(stage, 3, '/staged/answer'))
+    sending = asyncio.ensure_future(
+        send_stage_requests(stage, 3, '/staged/answer')
+    )
     await stage.wait_for(lambda: producer.calls)
     await _drain(stage, 'one', '')
     await sending
@@ -226,7 +230,7 @@
 
 @then('no result was released at {name:w}')
 def check_none_released(context, name):
-    assert not context.gateway_stage.upstreams[name].freed
+    assert not context.gateway_stage.upstreams[name].released_handles
 
 
 @when('pieces wait for a pool whose domain is drained')
@@ -272,7 +276,7 @@
 
 def _make_piece(number: int) -> Piece:
     """Make a piece of the second stage; its first stage has already run."""
-    return make_waiting(
+    return make_waiting_piece(
         _FAR_FUTURE_MS,
         expires_ms=_FAR_FUTURE_MS,
         number=number,
--- a/tests/features/steps/gate_hosts.py
+++ b/tests/features/steps/gate_hosts.py
@@ -8,7 +8,7 @@
 from ragworthollow.pieces import StoredResult
 from ragworthollow.transport.piece_messages import ResultsRelease
 from ragworthollow_daemon.gateway.piece_exchange import FREE_PATH
-from tests.fixtures.staged import NAMES, send_staged
+from tests.fixtures.staged import GATEWAY_NAMES, send_stage_requests
 
 # Later than any reading of this machine's monotonic clock.
 _FAR_FUTURE_MS = 1e15
@@ -44,9 +44,9 @@
         The role of the host gateway, and the future of the responses.
     """
     host = _find_host(stage)
-    others = [name for name in NAMES if name != host]
+    others = [name for name in GATEWAY_NAMES if name != host]
     sending = asyncio.ensure_future(
-        send_staged(stage, count, '/staged/answer', others),
+        send_stage_requests(stage, count, '/staged/answer', others),
     )
     upstream = stage.upstreams['s1']
     await stage.wait_for(lambda: upstream.calls)
@@ -68,7 +68,7 @@
 
 @then('the instance never had two calls at a time')
 def check_one_call_at_a_time(context):
-    assert context.gateway_stage.upstreams['s1'].most_busy == 1
+    assert context.gateway_stage.upstreams['s1'].max_active_calls == 1
 
 
 @when('two gateways stop and another one starts meanwhile')
@@ -116,7 +116,7 @@
             expires_ms=_FAR_FUTURE_MS,
         ),
     )
-    other = next(name for name in NAMES if name != host)
+    other = next(name for name in GATEWAY_NAMES if name != host)
     await stage.wait_for(
         lambda: _find_host_as_seen_by(stage, other) == host,
     )
@@ -127,7 +127,7 @@
         data=msgspec.json.encode(release),
     ) as response:
         assert response.status == 200
-    await stage.wait_for(lambda: producer.freed)
+    await stage.wait_for(lambda: producer.released_handles)
 
 
 def _find_host_as_seen_by(stage, name: str) -> str:
@@ -144,6 +144,6 @@
 @then('it is released once, and the host no longer counts it')
 def check_released_once(context):
     stage = context.gateway_stage
-    assert len(stage.upstreams['s1'].freed) == 1
+    assert len(stage.upstreams['s1'].released_handles) == 1
     used = _get_result_space(stage, _find_host(stage)).get_used_bytes(0)
     assert not used, used
--- a/tests/features/steps/gateway.py
+++ b/tests/features/steps/gateway.py
@@ -132,7 +132,7 @@
         'idle_timeout_ms': 15000,
     }
     await stage.configure(version=7, limits=limits)
-    await stage.wait_configured()
+    await stage.wait_for_configuration()
     return await stage.send('/safe/answer')
 
 
@@ -188,7 +188,7 @@
     stage.run(
         stage.wait_for(
             lambda: any(
-                'leaver' in upstream.left
+                'leaver' in upstream.disconnected_request_ids
                 for upstream in stage.upstreams.values()
             ),
         ),
@@ -204,7 +204,7 @@
 @given('instance {name} reports that it shuts down')
 def announce_leaving(context, name):
     stage = context.gateway_stage
-    stage.run(stage.show(name, 'plain', 'draining'))
+    stage.run(stage.publish_instance(name, 'plain', 'draining'))
 
 
 @when('the list has been read')
@@ -249,7 +249,7 @@
 @then('the gateway serves /new/answer within its bound')
 def check_new_route(context):
     stage = context.gateway_stage
-    stage.run(stage.wait_configured())
+    stage.run(stage.wait_for_configuration())
     response = stage.run(stage.send('/new/answer'))
     assert response.status == 200, response
 
@@ -261,9 +261,9 @@
 def revert_version(context, new, old):
     stage = context.gateway_stage
     stage.run(stage.configure(version=new))
-    stage.run(stage.wait_configured())
+    stage.run(stage.wait_for_configuration())
     stage.run(stage.configure(version=old))
-    stage.run(stage.wait_reads(3))
+    stage.run(stage.wait_for_reads(3))
 
 
 @then('the gateway stays at version {version:d}')
@@ -309,7 +309,7 @@
     stage = context.gateway_stage
     stage.store.faults.active = {}
     stage.run(stage.configure(version=50))
-    stage.run(stage.wait_configured())
+    stage.run(stage.wait_for_configuration())
 
 
 @when('the gateway is asked to stop while requests come')
@@ -369,7 +369,7 @@
     # The process exits as soon as `role.stop()` returns.
     assert not context.stopping.done()
     for upstream in stage.upstreams.values():
-        upstream.may_go_on.set()
+        upstream.resume_event.set()
     context.answer = stage.run(asyncio.wait_for(context.streaming, 20))
     stage.run(asyncio.wait_for(context.stopping, 20))
 
@@ -390,7 +390,7 @@
 def start_another_gateway(context):
     stage = context.gateway_stage
     stage.run(stage.add_gateway('g2'))
-    stage.run(stage.wait_configured('g2'))
+    stage.run(stage.wait_for_configuration('g2'))
     directory = stage.get_context('g2').directory
     stage.run(stage.wait_for(lambda: directory.get_pool('plain')))
 
--- a/tests/features/steps/gateway_fleet.py
+++ b/tests/features/steps/gateway_fleet.py
@@ -5,7 +5,7 @@
 from behave import given, then, when
 
 from ragworthollow.utils import get_boottime_ms
-from tests.fixtures.staged import NAMES, send_staged
+from tests.fixtures.staged import GATEWAY_NAMES, send_stage_requests
 
 _PLAIN_INSTANCES = ('u1', 'u2')
 
@@ -30,10 +30,10 @@
     }
     routes = [*stage.configuration['routes'], staged_route]
     await stage.configure(version=11, routes=routes)
-    for name in NAMES[1:]:
+    for name in GATEWAY_NAMES[1:]:
         await stage.add_gateway(name)
-    for name in NAMES:
-        await stage.wait_configured(name)
+    for name in GATEWAY_NAMES:
+        await stage.wait_for_configuration(name)
         await _wait_for_members(stage, name)
 
 
@@ -41,7 +41,7 @@
     context = stage.get_context(name)
     await stage.wait_for(
         lambda: (
-            context.members == len(NAMES)
+            context.members == len(GATEWAY_NAMES)
             and len(context.directory.get_pool('stage')) == 1
         ),
     )
@@ -60,7 +60,7 @@
 @when('{count:d} callers post to {path:S} through all gateways')
 def send_through_all(context, count, path):
     stage = context.gateway_stage
-    context.answers = stage.run(send_staged(stage, count, path))
+    context.answers = stage.run(send_stage_requests(stage, count, path))
 
 
 @then('each ran once with all inputs of its own')
@@ -98,7 +98,7 @@
         for call in upstream.calls
         for item in call
     }
-    stage.run(stage.wait_for(lambda: handles <= set(upstream.freed)))
+    stage.run(stage.wait_for(lambda: handles <= set(upstream.released_handles)))
 
 
 @when('a gateway starts')
@@ -127,7 +127,7 @@
 def check_recovered(context):
     stage = context.gateway_stage
     stage.store.faults.active = {}
-    stage.run(stage.wait_configured('g2'))
+    stage.run(stage.wait_for_configuration('g2'))
     assert stage.run(_get_ready_status(stage, 'g2')) == 200
     stage.run(_wait_for_plain_pool(stage, 'g2'))
     response = stage.run(stage.send('/safe/answer', gateway='g2'))
@@ -149,19 +149,19 @@
 
 async def _restart_all(stage) -> None:
     await stage.configure(version=30)
-    for name in NAMES:
+    for name in GATEWAY_NAMES:
         await stage.gateways[name].close()
-    for name in NAMES:
+    for name in GATEWAY_NAMES:
         await stage.add_gateway(name)
 
 
 @then('they serve the newest configuration')
 def check_restarted(context):
     stage = context.gateway_stage
-    for name in NAMES:
-        stage.run(stage.wait_configured(name))
+    for name in GATEWAY_NAMES:
+        stage.run(stage.wait_for_configuration(name))
         stage.run(_wait_for_plain_pool(stage, name))
-    responses = stage.run(send_staged(stage, 6, '/staged/answer'))
+    responses = stage.run(send_stage_requests(stage, 6, '/staged/answer'))
     assert {response.status for response in responses} == {200}, responses
 
 
@@ -183,7 +183,7 @@
 def add_gateway_with_grace_time(context, grace_s):
     stage = context.gateway_stage
     stage.run(stage.add_gateway('g2', grace_s=grace_s))
-    stage.run(stage.wait_configured('g2'))
+    stage.run(stage.wait_for_configuration('g2'))
     stage.run(_wait_for_plain_pool(stage, 'g2'))
 
 
--- a/tests/features/steps/homes.py
+++ b/tests/features/steps/homes.py
@@ -6,7 +6,7 @@
 
 from ragworthollow.pieces import PieceScheduler
 from ragworthollow.upstreams import LoadTracker, UpstreamInstance
-from tests.fixtures.piece_pool import make_profile, make_waiting
+from tests.fixtures.piece_pool import make_profile, make_waiting_piece
 
 _REGIONS_BY_DOMAIN = {'one': 'east', 'two': 'west', 'three': 'north'}
 _INSTANCES_BY_REGION = {'east': ('u1', 'u2'), 'west': ('u3',), 'north': ('u4',)}
@@ -24,7 +24,7 @@
 def add_gateway_with_regions(context):
     stage = context.gateway_stage
     stage.run(stage.add_gateway('g2', regions=_REGIONS_BY_DOMAIN))
-    stage.run(stage.wait_configured('g2'))
+    stage.run(stage.wait_for_configuration('g2'))
 
 
 @given('instances of the plain pool in each of them')
@@ -55,7 +55,7 @@
             tenants=tenants,
         ),
     )
-    stage.run(stage.wait_configured('g2'))
+    stage.run(stage.wait_for_configuration('g2'))
 
 
 @when('{count:d} requests are sent to any of them')
@@ -116,7 +116,7 @@
     scheduler = PieceScheduler()
     profile = make_profile(1)
     context.producers = []
-    waiting = make_waiting(500, allowed_regions=frozenset(('west',)))
+    waiting = make_waiting_piece(500, allowed_regions=frozenset(('west',)))
     scheduler.submit(waiting)
     for _ in range(_MAX_TRIES):
         (call,) = scheduler.plan(profile, instances, LoadTracker(), 0)
--- a/tests/features/steps/instance_entries.py
+++ b/tests/features/steps/instance_entries.py
@@ -19,7 +19,7 @@
 )
 from ragworthollow_daemon.gateway.piece_service import PieceService
 from tests.fixtures.gateways import make_settings
-from tests.fixtures.piece_pool import make_waiting
+from tests.fixtures.piece_pool import make_waiting_piece
 from tests.fixtures.throttles import make_throttle
 
 _ENTRY = {
@@ -257,7 +257,11 @@
     context.running = stage.loop.create_task(
         context.service.run(
             'stage',
-            [make_waiting(_FAR_FUTURE_MS, expires_ms=_FAR_FUTURE_MS).piece],
+            [
+                make_waiting_piece(
+                    _FAR_FUTURE_MS, expires_ms=_FAR_FUTURE_MS
+                ).piece
+            ],
         ),
     )
     stage.run(stage.wait_for(lambda: context.sent))
--- a/tests/features/steps/lapsed_entries.py
+++ b/tests/features/steps/lapsed_entries.py
@@ -12,7 +12,7 @@
 from ragworthollow.conf import global_settings
 from ragworthollow.upstreams import Directory, UpstreamInstance
 from ragworthollow.utils import override_clocks
-from tests.fixtures.store_followers import make_follower
+from tests.fixtures.store_followers import make_store_poller
 
 _KEYS = ('servers/a', 'servers/b')
 _OUTAGE_START_MS = st.integers(5000, 15_000)
@@ -76,7 +76,7 @@
     for key in _KEYS:
         session.put(key)
     subscriber = _DirectorySubscriber()
-    poller = make_follower(session, subscriber, bound_ms=context.bound_ms)
+    poller = make_store_poller(session, subscriber, bound_ms=context.bound_ms)
     session.lost_ms = outage
     with override_clocks(loop.get_ms):
         polling = asyncio.ensure_future(poller.run())
--- a/tests/features/steps/lost_calls.py
+++ b/tests/features/steps/lost_calls.py
@@ -22,11 +22,11 @@
 from ragworthollow_daemon.gateway.results_in_use import ResultsInUse
 from ragworthollow_daemon.gateway.upstream_failure import UpstreamFailure
 from tests.fixtures.piece_pool import (
-    FAR_MS,
+    DISTANT_EXPIRY_MS,
     RESULT_BYTES,
     PiecePool,
     make_instances,
-    make_waiting,
+    make_waiting_piece,
 )
 
 _REPORTED_BUSY = {'works on nothing': False, 'works': True}
@@ -94,14 +94,14 @@
 def _make_result_handler(pool: PiecePool) -> CallResultHandler:
     return CallResultHandler(
         context=SimpleNamespace(
-            load_tracker=pool.book,
+            load_tracker=pool.load_tracker,
             metrics=Metrics(),
             route_table=SimpleNamespace(
                 pools={'p': SimpleNamespace(pieces=pool.profile)},
             ),
             directory=SimpleNamespace(get_pool=lambda _: pool.instances),
             get_budget=lambda _: SimpleNamespace(withdraw=lambda: True),
-            mark_suspect=lambda instance: pool.book.record_failure(
+            mark_suspect=lambda instance: pool.load_tracker.record_failure(
                 instance.instance, 0
             ),
             quarantine=SimpleNamespace(get_remaining_ms=lambda _: 0),
@@ -114,9 +114,9 @@
 def lose_response(context, count):
     context.pool = PiecePool(1, 4)
     for _ in range(count):
-        context.pool.gate.submit(make_waiting(5000))
+        context.pool.scheduler.submit(make_waiting_piece(5000))
     (call,) = context.pool.plan()
-    context.pool.gate.finish(call)
+    context.pool.scheduler.finish(call)
     failure = UpstreamFailure(
         outcome=Outcome.unknown,
         reason=Reason.answer_lost,
@@ -126,7 +126,7 @@
     with override_clocks(VirtualLoop().get_ms):
         _make_result_handler(context.pool).record_failure(
             'p',
-            context.pool.gate,
+            context.pool.scheduler,
             call,
             failure,
         )
@@ -134,13 +134,13 @@
 
 @then('its instance is not suspected and its pieces are queued again')
 def check_trusted(context):
-    assert context.pool.book.get('i0').suspect_until_ms < 0
-    assert context.pool.gate.get_depth() == 2
+    assert context.pool.load_tracker.get('i0').suspect_until_ms < 0
+    assert context.pool.scheduler.get_depth() == 2
 
 
 @then('its result space counts {count:d} more results')
 def check_counted(context, count):
-    used = context.pool.gate.result_space.get_used_bytes(0)
+    used = context.pool.scheduler.result_space.get_used_bytes(0)
     assert used == {'i0': count * RESULT_BYTES}, used
 
 
@@ -149,18 +149,18 @@
     context.requester_tracker = RequesterTracker()
     context.requester_tracker.record_ping('g2', 'earlier', 0)
     context.pool = PiecePool(1, 4)
-    scheduler = context.pool.gate
+    scheduler = context.pool.scheduler
     for number in range(count):
         scheduler.result_space.add(
             StoredResult(
                 handle=f'h{number}',
                 instance='i0',
                 result_bytes=RESULT_BYTES,
-                expires_ms=FAR_MS,
+                expires_ms=DISTANT_EXPIRY_MS,
                 requester='earlier',
             ),
         )
-    context.waiting = make_waiting(5000, requester='earlier')
+    context.waiting = make_waiting_piece(5000, requester='earlier')
     scheduler.submit(context.waiting)
 
 
@@ -172,7 +172,7 @@
 @then('its results are released and its pieces are no longer awaited')
 def check_released(context):
     (terminated,) = context.requester_tracker.pop_terminated(100)
-    scheduler = context.pool.gate
+    scheduler = context.pool.scheduler
     assert scheduler.result_space.find_handles(terminated) == ('h0', 'h1')
     scheduler.cancel_requester(terminated)
     assert not context.waiting.is_awaited
@@ -198,7 +198,7 @@
                     handle=handle,
                     instance='i0',
                     result_bytes=1,
-                    expires_ms=FAR_MS,
+                    expires_ms=DISTANT_EXPIRY_MS,
                 ),
             ],
         )
@@ -231,8 +231,8 @@
 def queue_alternating_domains(context):
     for number in range(8):
         domain = ('one', 'two')[number % 2]
-        context.pool.gate.submit(
-            make_waiting(5000 + number, failure_domain=domain),
+        context.pool.scheduler.submit(
+            make_waiting_piece(5000 + number, failure_domain=domain),
         )
     context.calls = context.pool.plan()
 
@@ -248,14 +248,14 @@
 
 @when('the local instance is busy and a piece for it is due at once')
 def queue_urgent_piece(context):
-    scheduler = context.pool.gate
+    scheduler = context.pool.scheduler
     for number in range(4):
-        scheduler.submit(make_waiting(number, failure_domain='two'))
+        scheduler.submit(make_waiting_piece(number, failure_domain='two'))
     (busy,) = context.pool.plan()
     assert busy.instance.failure_domain == 'two'
-    scheduler.submit(make_waiting(20, failure_domain='two'))
+    scheduler.submit(make_waiting_piece(20, failure_domain='two'))
     for number in range(4):
-        scheduler.submit(make_waiting(30 + number, failure_domain='one'))
+        scheduler.submit(make_waiting_piece(30 + number, failure_domain='one'))
     (context.call,) = context.pool.plan(1)
 
 
--- a/tests/features/steps/named_limits.py
+++ b/tests/features/steps/named_limits.py
@@ -21,7 +21,7 @@
     read_limit_update,
 )
 from ragworthollow.utils import get_boottime_ms, get_monotonic_ms
-from tests.fixtures.staged import NAMES, send_staged
+from tests.fixtures.staged import GATEWAY_NAMES, send_stage_requests
 
 _LIMIT_HEADER = 'Server-Limit'
 _WINDOW_S = 4
@@ -55,7 +55,7 @@
 @given('{name:w} advertises a limit of {limit_per_s:g} requests a second')
 def advertise_limit(context, name, limit_per_s):
     upstream = context.gateway_stage.upstreams[name]
-    upstream.notices = {_LIMIT_HEADER: f'{limit_per_s:g}'}
+    upstream.response_headers = {_LIMIT_HEADER: f'{limit_per_s:g}'}
 
 
 @when('{count:d} callers post to {path:S} at all gateways together')
@@ -65,7 +65,9 @@
     async def send() -> list:
         return await asyncio.gather(
             *(
-                stage.send(path, gateway=NAMES[number % len(NAMES)])
+                stage.send(
+                    path, gateway=GATEWAY_NAMES[number % len(GATEWAY_NAMES)]
+                )
                 for number in range(count)
             ),
         )
@@ -97,12 +99,14 @@
 
 @given('{name:w} responds with a limit of {text}')
 def respond_with_limit(context, name, text):
-    context.gateway_stage.upstreams[name].notices = {_LIMIT_HEADER: text}
+    context.gateway_stage.upstreams[name].response_headers = {
+        _LIMIT_HEADER: text
+    }
 
 
 @when('{name:w} no longer advertises a limit')
 def stop_advertising(context, name):
-    context.gateway_stage.upstreams[name].notices = {}
+    context.gateway_stage.upstreams[name].response_headers = {}
 
 
 @when('{count:d} callers post to {path:S} at once')
@@ -122,7 +126,7 @@
         name: len(upstream.arrivals)
         for name, upstream in stage.upstreams.items()
     }
-    stage.run(send_staged(stage, count, '/staged/answer'))
+    stage.run(send_stage_requests(stage, count, '/staged/answer'))
 
 
 @when('callers post to {path:S} at that gateway until {name:w} has answered')
--- a/tests/features/steps/once_ownership.py
+++ b/tests/features/steps/once_ownership.py
@@ -6,7 +6,7 @@
 
 from ragworthollow.once.assignment import get_range
 from ragworthollow.once.ownership import OwnershipStatus
-from tests.fixtures.once_model import Model, make_machine
+from tests.fixtures.once_model import Model, make_state_machine
 
 
 @given('the protocol with all its guards')
@@ -24,7 +24,7 @@
     context.repeated_keys = []
     try:
         run_state_machine_as_test(
-            make_machine(**context.guards),
+            make_state_machine(**context.guards),
             settings=settings(
                 max_examples=count,
                 stateful_step_count=60,
@@ -85,10 +85,10 @@
     )
     model.sidecars[owner].paused = True
     model.run_for(12_000)
-    delayed_call = model.handed.pop()
+    delayed_call = model.pending_calls.pop()
     model.ask_everywhere('key')
     model.sidecars[owner].paused = False
-    model.handed.append(delayed_call)
+    model.pending_calls.append(delayed_call)
     model.hand_over()
     model.run_for(6000)
     model.ask_everywhere('key')
@@ -118,7 +118,7 @@
     rejoined.
     """
     model.step(index, delayed=True)
-    return bool(model.late and model.sidecars[index].ownership.moving)
+    return bool(model.delayed_writes and model.sidecars[index].ownership.moving)
 
 
 @when('the owner is asked for keys of these ranges')
--- a/tests/features/steps/overload.py
+++ b/tests/features/steps/overload.py
@@ -140,7 +140,7 @@
 )
 def check_announced(context, calls):
     pool = context.pool
-    waits_ms = pool.gate.estimate_waits_ms(
+    waits_ms = pool.scheduler.estimate_waits_ms(
         pool.profile,
         1,
         context.announced.get_counts()['p'],
--- a/tests/features/steps/piece_space.py
+++ b/tests/features/steps/piece_space.py
@@ -9,11 +9,11 @@
 )
 from ragworthollow.pieces.locality import choose_local_domain
 from tests.fixtures.piece_pool import (
-    FAR_MS,
-    NOTHING,
+    DISTANT_EXPIRY_MS,
+    NO_ANNOUNCED_PIECES,
     RESULT_BYTES,
     PiecePool,
-    make_waiting,
+    make_waiting_piece,
 )
 
 
@@ -27,12 +27,12 @@
         result_bytes=RESULT_BYTES,
         expires_ms=left_ms,
     )
-    context.pool.gate.running.record_remote_calls('other', [call])
+    context.pool.scheduler.running.record_remote_calls('other', [call])
 
 
 @then('no call is made at {early:d} ms and one at {late:d} ms')
 def check_remote_call(context, early, late):
-    context.pool.gate.submit(make_waiting(5000))
+    context.pool.scheduler.submit(make_waiting_piece(5000))
     assert not context.pool.plan(early)
     (call,) = context.pool.plan(late)
     assert call.instance.instance == 'i0'
@@ -40,21 +40,21 @@
 
 @when('a result is released before the scheduler that requested it reports it')
 def release_early(context):
-    scheduler = context.pool.gate
+    scheduler = context.pool.scheduler
     assert not scheduler.result_space.release('h0', 0)
     scheduler.result_space.add(
         StoredResult(
             handle='h0',
             instance='i0',
             result_bytes=RESULT_BYTES,
-            expires_ms=FAR_MS,
+            expires_ms=DISTANT_EXPIRY_MS,
         ),
     )
 
 
 @then('it takes no space in the account')
 def check_no_space(context):
-    assert not context.pool.gate.result_space.get_used_bytes(0)
+    assert not context.pool.scheduler.result_space.get_used_bytes(0)
 
 
 @when(
@@ -77,9 +77,9 @@
     'every {pace_ms:d} ms for {span_s:d} s',
 )
 def process_pieces(context, count, pace_ms, span_s):
-    scheduler = context.pool.gate
+    scheduler = context.pool.scheduler
     for number in range(count):
-        scheduler.submit(make_waiting(FAR_MS + number))
+        scheduler.submit(make_waiting_piece(DISTANT_EXPIRY_MS + number))
     context.now_ms = 0
     while context.now_ms < span_s * 1000:
         (call,) = context.pool.plan(context.now_ms)
@@ -89,10 +89,10 @@
 
 @then('a new one expects to wait for more than {least_ms:d} ms')
 def check_wait(context, least_ms):
-    waits_ms = context.pool.gate.estimate_waits_ms(
+    waits_ms = context.pool.scheduler.estimate_waits_ms(
         context.pool.profile,
         len(context.pool.instances),
-        NOTHING,
+        NO_ANNOUNCED_PIECES,
         context.now_ms,
     )
     assert waits_ms[0] > least_ms, waits_ms
@@ -105,8 +105,8 @@
     for order, count in enumerate((first, second, third)):
         stage_run = StageRun()
         for number in range(count):
-            context.pool.gate.submit(
-                make_waiting(
+            context.pool.scheduler.submit(
+                make_waiting_piece(
                     5000 + order,
                     request_id=f'r{order}',
                     number=number,
@@ -128,16 +128,16 @@
 def check_limit(context, limit):
     (call,) = context.calls
     assert call.limit == limit, call.limit
-    assert call.remaining_pieces == context.pool.gate.get_depth()
+    assert call.remaining_pieces == context.pool.scheduler.get_depth()
 
 
 @when('1 piece for its own domain and 1 for another that is idle soon wait')
 def queue_for_two_domains(context):
     pool = PiecePool(2, 4)
-    pool.gate.submit(make_waiting(100, failure_domain='two'))
+    pool.scheduler.submit(make_waiting_piece(100, failure_domain='two'))
     (busy,) = pool.plan()
     assert busy.instance.failure_domain == 'two'
-    pool.gate.submit(make_waiting(5000, failure_domain='one'))
-    pool.gate.submit(make_waiting(5000, failure_domain='two'))
+    pool.scheduler.submit(make_waiting_piece(5000, failure_domain='one'))
+    pool.scheduler.submit(make_waiting_piece(5000, failure_domain='two'))
     context.calls = pool.plan(1)
     context.pool = pool
--- a/tests/features/steps/pieces.py
+++ b/tests/features/steps/pieces.py
@@ -12,11 +12,11 @@
 )
 from tests.fixtures.gate_model import GateModel
 from tests.fixtures.piece_pool import (
-    FAR_MS,
-    NOTHING,
+    DISTANT_EXPIRY_MS,
+    NO_ANNOUNCED_PIECES,
     PiecePool,
     make_profile,
-    make_waiting,
+    make_waiting_piece,
 )
 
 
@@ -38,7 +38,7 @@
 @when('{count:d} requests submit 1 piece each')
 def queue_pieces(context, count):
     for number in range(count):
-        context.pool.gate.submit(make_waiting(500 + number))
+        context.pool.scheduler.submit(make_waiting_piece(500 + number))
     context.calls = context.pool.plan()
 
 
@@ -51,7 +51,7 @@
 @when('pieces due in {first:d}, {second:d} and {third:d} ms wait')
 def queue_three_pieces(context, first, second, third):
     for due_ms in (first, second, third):
-        context.pool.gate.submit(make_waiting(due_ms))
+        context.pool.scheduler.submit(make_waiting_piece(due_ms))
     context.order = context.pool.run_all()
 
 
@@ -60,8 +60,8 @@
     'and one of priority {high:d} due in {late:d} ms wait',
 )
 def queue_by_priority(context, low, early, high, late):
-    context.pool.gate.submit(make_waiting(early, priority=low))
-    context.pool.gate.submit(make_waiting(late, priority=high))
+    context.pool.scheduler.submit(make_waiting_piece(early, priority=low))
+    context.pool.scheduler.submit(make_waiting_piece(late, priority=high))
     context.order = context.pool.run_all()
 
 
@@ -76,12 +76,14 @@
 )
 def start_request(context):
     stage_run = StageRun()
-    scheduler = context.pool.gate
+    scheduler = context.pool.scheduler
     for number in range(3):
-        scheduler.submit(make_waiting(900, number=number, stage_run=stage_run))
+        scheduler.submit(
+            make_waiting_piece(900, number=number, stage_run=stage_run)
+        )
     (call,) = context.pool.plan()
     for due_ms in (100, 200, 300):
-        scheduler.submit(make_waiting(due_ms))
+        scheduler.submit(make_waiting_piece(due_ms))
     scheduler.finish(call)
     (context.call,) = context.pool.plan()
 
@@ -96,12 +98,12 @@
 def check_call_size(context, count, left):
     (call,) = context.calls
     assert len(call.pieces) == count
-    assert context.pool.gate.get_depth() == left
+    assert context.pool.scheduler.get_depth() == left
 
 
 @then('the others follow once the results are released')
 def check_after_release(context):
-    scheduler = context.pool.gate
+    scheduler = context.pool.scheduler
     (call,) = context.calls
     scheduler.finish(call)
     for number, waiting in enumerate(call.pieces):
@@ -110,7 +112,7 @@
                 handle=f'h{number}',
                 instance=call.instance.instance,
                 result_bytes=waiting.piece.result_bytes,
-                expires_ms=FAR_MS,
+                expires_ms=DISTANT_EXPIRY_MS,
             ),
         )
     assert not context.pool.plan()
@@ -122,9 +124,9 @@
 
 @when('a piece for domain two waits while its instance will be idle in 50 ms')
 def occupy_local_instance(context):
-    scheduler = context.pool.gate
+    scheduler = context.pool.scheduler
     context.pool.instances.reverse()
-    scheduler.submit(make_waiting(0, failure_domain='two'))
+    scheduler.submit(make_waiting_piece(0, failure_domain='two'))
     (call,) = context.pool.plan()
     assert call.instance.failure_domain == 'two'
     context.now_ms = call.expected_ms - 50
@@ -136,10 +138,12 @@
 )
 def check_held(context, long_ms, short_ms):
     now_ms = context.now_ms
-    scheduler = context.pool.gate
-    scheduler.submit(make_waiting(now_ms + long_ms, failure_domain='two'))
+    scheduler = context.pool.scheduler
+    scheduler.submit(make_waiting_piece(now_ms + long_ms, failure_domain='two'))
     assert not context.pool.plan(now_ms)
-    scheduler.submit(make_waiting(now_ms + short_ms, failure_domain='two'))
+    scheduler.submit(
+        make_waiting_piece(now_ms + short_ms, failure_domain='two')
+    )
     (call,) = context.pool.plan(now_ms)
     assert call.instance.failure_domain == 'one'
     assert call.pieces[0].piece.due_ms == now_ms + short_ms
@@ -150,10 +154,12 @@
     pool = context.pool
     context.lateness = []
     for _ in range(6):
-        waiting = make_waiting(700)
-        wait_ms = pool.gate.estimate_wait_ms(pool.profile, 1, waiting.piece, 0)
+        waiting = make_waiting_piece(700)
+        wait_ms = pool.scheduler.estimate_wait_ms(
+            pool.profile, 1, waiting.piece, 0
+        )
         context.lateness.append(wait_ms - 700)
-        pool.gate.submit(waiting)
+        pool.scheduler.submit(waiting)
         pool.plan()
 
 
@@ -165,15 +171,15 @@
 
 @when('a piece waits whose caller has disconnected')
 def queue_unawaited_piece(context):
-    waiting = make_waiting(500)
-    context.pool.gate.submit(waiting)
+    waiting = make_waiting_piece(500)
+    context.pool.scheduler.submit(waiting)
     waiting.is_awaited = False
 
 
 @then('no call is made')
 def check_no_call(context):
     assert not context.pool.plan()
-    assert not context.pool.gate.get_depth()
+    assert not context.pool.scheduler.get_depth()
 
 
 @when('pieces that have missed their objective by a second wait')
@@ -181,9 +187,9 @@
     context.piece_results = []
     context.pool.instances.clear()
     for inputs in ((), ('10.0.0.1:1/x',)):
-        waiting = make_waiting(0, inputs=inputs)
+        waiting = make_waiting_piece(0, inputs=inputs)
         waiting.on_result = context.piece_results.append
-        context.pool.gate.submit(waiting)
+        context.pool.scheduler.submit(waiting)
     context.pool.plan(1000)
 
 
@@ -191,7 +197,7 @@
 def check_not_run(context):
     (result,) = context.piece_results
     assert result.outcome is PieceOutcome.not_run
-    assert context.pool.gate.get_depth() == 1
+    assert context.pool.scheduler.get_depth() == 1
 
 
 _STEPS = st.lists(
@@ -231,7 +237,9 @@
 def queue_two_priorities(context, urgent, other):
     for number in range(urgent + other):
         priority = 0 if number < urgent else 2
-        context.pool.gate.submit(make_waiting(5000, priority=priority))
+        context.pool.scheduler.submit(
+            make_waiting_piece(5000, priority=priority)
+        )
 
 
 @then(
@@ -240,7 +248,9 @@
 )
 def check_expected_waits(context, urgent, everything):
     pool = context.pool
-    waits_ms = pool.gate.estimate_waits_ms(pool.profile, 1, NOTHING, 0)
+    waits_ms = pool.scheduler.estimate_waits_ms(
+        pool.profile, 1, NO_ANNOUNCED_PIECES, 0
+    )
     call_ms = pool.profile.estimate_ms(1)
     assert waits_ms[0] == urgent * call_ms, waits_ms
     assert waits_ms[2] == everything * call_ms, waits_ms
--- a/tests/features/steps/popular_requests.py
+++ b/tests/features/steps/popular_requests.py
@@ -5,7 +5,7 @@
 
 from behave import given, then, when
 
-from tests.fixtures.staged import NAMES
+from tests.fixtures.staged import GATEWAY_NAMES
 from tests.standins.upstream import CRASHING_KEY, UpstreamStandin
 
 # Each crash uses a new path, as a request is quarantined after two crashes.
@@ -15,7 +15,7 @@
 }
 # Long enough for pieces of several requests to share one call.
 _PIECE_MS = 150
-_STORE_READS_BETWEEN = 2 * len(NAMES)
+_STORE_READS_BETWEEN = 2 * len(GATEWAY_NAMES)
 
 
 @dataclass(kw_only=True)
@@ -33,19 +33,19 @@
     stage = context.gateway_stage
     context.popular = _PopularRequest(pool=pool)
     for name in ('u1', 'u2') if pool == 'plain' else ('s1',):
-        stage.run(stage.hide(name))
+        stage.run(stage.remove_instance(name))
     stage.run(_replace_instance(stage, context.popular))
 
 
 async def _replace_instance(stage, popular: _PopularRequest) -> UpstreamStandin:
     """List a new instance in place of the crashed instance."""
     if popular.number:
-        await stage.hide(_get_instance_name(popular))
+        await stage.remove_instance(_get_instance_name(popular))
     popular.number += 1
     name = _get_instance_name(popular)
     await stage.add_upstream(name, popular.pool)
-    stage.upstreams[name].may_go_on.set()
-    directories = [stage.get_context(one).directory for one in NAMES]
+    stage.upstreams[name].resume_event.set()
+    directories = [stage.get_context(one).directory for one in GATEWAY_NAMES]
     await stage.wait_for(
         lambda: all(
             [entry.instance for entry in one.get_pool(popular.pool)] == [name]
@@ -87,13 +87,13 @@
 async def _crash_instance(stage, popular: _PopularRequest) -> None:
     """Crash the instance while the popular request runs for all gateways."""
     upstream = stage.upstreams[_get_instance_name(popular)]
-    upstream.may_go_on.clear()
+    upstream.resume_event.clear()
     upstream.piece_ms = _PIECE_MS
     started_before = _count_started(upstream)
-    expected = len(NAMES) if popular.pool == 'plain' else 1
+    expected = len(GATEWAY_NAMES) if popular.pool == 'plain' else 1
     running = [
         asyncio.ensure_future(_send_popular(stage, popular, name))
-        for name in NAMES
+        for name in GATEWAY_NAMES
     ]
     await stage.wait_for(
         lambda: _count_started(upstream) >= started_before + expected,
@@ -129,14 +129,14 @@
 ) -> None:
     for _ in range(count):
         await _crash_instance(stage, popular)
-        await stage.wait_reads(_STORE_READS_BETWEEN)
+        await stage.wait_for_reads(_STORE_READS_BETWEEN)
         await _replace_instance(stage, popular)
         popular.responses += await _send_from_all_gateways(stage, popular)
-        await stage.wait_reads(_STORE_READS_BETWEEN)
+        await stage.wait_for_reads(_STORE_READS_BETWEEN)
 
 
 async def _send_from_all_gateways(stage, popular: _PopularRequest) -> list:
-    return [await _send_popular(stage, popular, name) for name in NAMES]
+    return [await _send_popular(stage, popular, name) for name in GATEWAY_NAMES]
 
 
 @then('the popular request is served at each gateway')
--- a/tests/features/steps/quarantine.py
+++ b/tests/features/steps/quarantine.py
@@ -8,13 +8,13 @@
 from ragworthollow_ctl.commands.release import release
 from tests.fixtures.commands import run_command
 from tests.fixtures.gateways import HOST
-from tests.fixtures.staged import NAMES
+from tests.fixtures.staged import GATEWAY_NAMES
 from tests.standins.upstream import CRASHING_KEY
 
 _MIN_INSTANCES = 4
 # Store reads by all gateways between two attempts: these take longer than an
 # update takes from one gateway to another.
-_READS_BETWEEN_ATTEMPTS = 2 * len(NAMES)
+_READS_BETWEEN_ATTEMPTS = 2 * len(GATEWAY_NAMES)
 _LAST_ATTEMPTS = 4
 _MIN_RETRY_AFTER_S = 10
 _RECORDS_PREFIX = 'quarantine/'
@@ -46,7 +46,7 @@
     """Replace instances that have crashed, as the platform does."""
     for name, upstream in list(stage.upstreams.items()):
         if upstream.has_crashed and name in crashing_pool.listed:
-            await stage.hide(name)
+            await stage.remove_instance(name)
             crashing_pool.listed.discard(name)
     while len(crashing_pool.listed) < _MIN_INSTANCES:
         name = f'u{len(stage.upstreams) + 1}'
@@ -54,7 +54,7 @@
         crashing_pool.listed.add(name)
     await stage.wait_for(
         lambda: all(
-            _is_up_to_date(stage, name, crashing_pool) for name in NAMES
+            _is_up_to_date(stage, name, crashing_pool) for name in GATEWAY_NAMES
         ),
     )
 
@@ -87,11 +87,11 @@
 ) -> list:
     responses = []
     for number in range(count):
-        gateway = NAMES[number % len(NAMES)]
+        gateway = GATEWAY_NAMES[number % len(GATEWAY_NAMES)]
         responses.append(
             await stage.send(path, gateway=gateway, headers=headers),
         )
-        await stage.wait_reads(_READS_BETWEEN_ATTEMPTS)
+        await stage.wait_for_reads(_READS_BETWEEN_ATTEMPTS)
         await _replace_crashed(stage, crashing_pool)
     return responses
 
@@ -118,7 +118,7 @@
 @then('a caller posts to {path:S} and is served at each gateway')
 def check_served_at_each(context, path):
     stage = context.gateway_stage
-    for gateway in NAMES:
+    for gateway in GATEWAY_NAMES:
         response = stage.run(stage.send(path, gateway=gateway))
         assert response.status == 200, response
 
@@ -130,7 +130,7 @@
     stage.run(
         stage.add_gateway('asked', metrics_address=context.metrics_address)
     )
-    stage.run(stage.wait_configured('asked'))
+    stage.run(stage.wait_for_configuration('asked'))
 
 
 @then('operators are shown the request and {count:d} crashes')
@@ -154,7 +154,7 @@
 @then('it is quarantined at no gateway')
 def check_released(context):
     stage = context.gateway_stage
-    contexts = [stage.get_context(name) for name in (*NAMES, 'asked')]
+    contexts = [stage.get_context(name) for name in (*GATEWAY_NAMES, 'asked')]
     stage.run(
         stage.wait_for(
             lambda: (
--- a/tests/features/steps/slow_calls.py
+++ b/tests/features/steps/slow_calls.py
@@ -8,7 +8,11 @@
 from ragworthollow.pieces import PieceOutcome, PieceResult
 from ragworthollow.utils import override_clocks
 from ragworthollow_daemon.gateway.call_result_handler import CallResultHandler
-from tests.fixtures.piece_pool import FAR_MS, PiecePool, make_waiting
+from tests.fixtures.piece_pool import (
+    DISTANT_EXPIRY_MS,
+    PiecePool,
+    make_waiting_piece,
+)
 
 _DONE = PieceResult(outcome=PieceOutcome.done, handle='10.0.0.1:1/x')
 # Simulated time between two scheduling cycles.
@@ -24,7 +28,7 @@
     pool_config = SimpleNamespace(pieces=context.pool.profile)
     context.outcomes = CallResultHandler(
         context=SimpleNamespace(
-            load_tracker=context.pool.book,
+            load_tracker=context.pool.load_tracker,
             metrics=Metrics(),
             route_table=SimpleNamespace(pools={'p': pool_config}),
             directory=SimpleNamespace(
@@ -32,9 +36,11 @@
             ),
             get_budget=lambda _: SimpleNamespace(withdraw=lambda: True),
             quarantine=SimpleNamespace(get_remaining_ms=lambda _: 0),
-            mark_suspect=lambda instance: context.pool.book.record_failure(
-                instance.instance,
-                context.now_ms,
+            mark_suspect=lambda instance: (
+                context.pool.load_tracker.record_failure(
+                    instance.instance,
+                    context.now_ms,
+                )
             ),
         ),
         release=lambda *_: None,
@@ -52,8 +58,10 @@
                 for running_call in running
                 if _advance(context, running_call)
             ]
-            if context.pool.gate.get_depth() < 4:
-                context.pool.gate.submit(make_waiting(FAR_MS))
+            if context.pool.scheduler.get_depth() < 4:
+                context.pool.scheduler.submit(
+                    make_waiting_piece(DISTANT_EXPIRY_MS)
+                )
             for call in context.pool.plan(context.now_ms):
                 running.append(SimpleNamespace(call=call, is_reported=False))
                 if call.instance.instance == 'i0':
@@ -68,12 +76,12 @@
     elapsed_ms = context.now_ms - call.started_ms
     if elapsed_ms > 2.5 * call.expected_ms and not running_call.is_reported:
         running_call.is_reported = True
-        context.outcomes.record_slow_call('p', context.pool.gate, call)
+        context.outcomes.record_slow_call('p', context.pool.scheduler, call)
     if elapsed_ms < call.expected_ms * (context.factor if is_slow else 1):
         return True
-    context.pool.gate.finish(call)
+    context.pool.scheduler.finish(call)
     results = tuple(_DONE for _ in call.pieces)
-    context.outcomes.record_results('p', context.pool.gate, call, results)
+    context.outcomes.record_results('p', context.pool.scheduler, call, results)
     return False
 
 
--- a/tests/features/steps/store_bounds.py
+++ b/tests/features/steps/store_bounds.py
@@ -12,7 +12,7 @@
 from measure.replica_fleet.store_session import StoreSession
 from ragworthollow.conf import global_settings
 from ragworthollow.utils import override_clocks
-from tests.fixtures.store_followers import make_follower
+from tests.fixtures.store_followers import make_store_poller
 from tests.standins.thin_link import BYTES_PER_MBIT
 
 _OBSERVATION_S = 30
@@ -112,7 +112,7 @@
     loop = asyncio.get_running_loop()
     subscriber = _ConfigurationSubscriber()
     session.put(_CONFIGURATION, case.size_bytes)
-    poller = make_follower(session, subscriber)
+    poller = make_store_poller(session, subscriber)
     with override_clocks(loop.get_ms):
         polling = asyncio.ensure_future(poller.run())
         await asyncio.sleep(changed_ms / 1000)
--- a/tests/features/steps/store_reads.py
+++ b/tests/features/steps/store_reads.py
@@ -23,7 +23,7 @@
     context.counts = dict(counts)
     context.reads_before = stage.count_reads()
     context.polls_before = _count_polls(stage)
-    stage.run(stage.wait_reads(count))
+    stage.run(stage.wait_for_reads(count))
 
 
 @then('it made one call for each, and others only to renew its lease')
--- a/tests/features/steps/store_restored.py
+++ b/tests/features/steps/store_restored.py
@@ -20,7 +20,7 @@
 from ragworthollow.utils import override_clocks
 from tests.fixtures.news_model import NewsModel
 from tests.fixtures.news_variants import VARIANTS
-from tests.fixtures.store_followers import make_follower
+from tests.fixtures.store_followers import make_store_poller
 
 _CONFIGURATION_KEY = 'op/config'
 _DRAIN_KEY = 'op/evacuate/one'
@@ -140,14 +140,14 @@
 @given('the record of {name:w} has reported that it shuts down')
 def mark_leaving(context, name):
     stage = context.gateway_stage
-    stage.run(stage.show(name, 'plain', state='draining'))
+    stage.run(stage.publish_instance(name, 'plain', state='draining'))
     _wait_until_removed(stage, name)
 
 
 @given('the record of {name:w} was removed')
 def remove_entry(context, name):
     stage = context.gateway_stage
-    stage.run(stage.hide(name))
+    stage.run(stage.remove_instance(name))
     _wait_until_removed(stage, name)
 
 
@@ -159,7 +159,7 @@
 @when('{name:w} writes its record again')
 def write_entry(context, name):
     stage = context.gateway_stage
-    stage.run(stage.show(name, 'plain'))
+    stage.run(stage.publish_instance(name, 'plain'))
 
 
 @then('{name:w} gets nothing of {count:d} requests')
@@ -321,7 +321,7 @@
         self.session = StoreSession()
         self.is_same = True
         self._replica = Replica()
-        self._poller = make_follower(
+        self._poller = make_store_poller(
             self.session,
             self,
             replica=self._replica,
--- a/tests/features/steps/store_view.py
+++ b/tests/features/steps/store_view.py
@@ -12,7 +12,7 @@
 from measure.replica_fleet.store_session import StoreSession
 from ragworthollow.platform import StoreClient
 from ragworthollow.utils import override_clocks
-from tests.fixtures.store_followers import make_follower
+from tests.fixtures.store_followers import make_store_poller
 
 _KEYS = st.sampled_from(('op/config', 'servers/a', 'servers/b'))
 _MOVES = st.lists(
@@ -52,7 +52,7 @@
 
     def __init__(self, make_client) -> None:
         self.session = StoreSession()
-        self._poller = make_follower(
+        self._poller = make_store_poller(
             self.session,
             self,
             make_client=make_client,
--- a/tests/features/steps/thin_links.py
+++ b/tests/features/steps/thin_links.py
@@ -50,13 +50,13 @@
 @step('the gateway applies the configuration')
 def wait_for_configuration(context):
     stage = context.gateway_stage
-    stage.run(stage.wait_configured())
+    stage.run(stage.wait_for_configuration())
 
 
 @when('instance {name} leaves')
 def announce_leaving(context, name):
     stage = context.gateway_stage
-    stage.run(stage.show(name, 'plain', state='draining'))
+    stage.run(stage.publish_instance(name, 'plain', state='draining'))
 
 
 @then('the gateway sends to {name} only')
@@ -76,9 +76,9 @@
 @then('{count:d} further polls carry less than one configuration')
 def check_polls(context, count):
     stage = context.gateway_stage
-    stage.run(stage.wait_reads(1))
+    stage.run(stage.wait_for_reads(1))
     bytes_before = stage.store.sent_bytes
-    stage.run(stage.wait_reads(count))
+    stage.run(stage.wait_for_reads(count))
     assert stage.store.sent_bytes - bytes_before < _get_configuration_size(
         stage
     )
--- a/tests/features/steps/warm_up.py
+++ b/tests/features/steps/warm_up.py
@@ -18,7 +18,7 @@
 from ragworthollow.conf import global_settings
 from ragworthollow.throttling import RateLimits, derive_limits, derive_quota
 from ragworthollow.utils import get_monotonic_ms
-from tests.fixtures.staged import send_staged
+from tests.fixtures.staged import send_stage_requests
 from tests.fixtures.throttles import make_throttle
 
 _LIMITS = RateLimits(requests_per_s=8, burst=17)
@@ -144,7 +144,7 @@
     version = stage.configuration['version'] + 1
     await stage.configure(version=version, services=[warming_service, *others])
     for name in stage.gateways:
-        await stage.wait_configured(name)
+        await stage.wait_for_configuration(name)
     senders = [
         role.context.throttle.senders for role in stage.gateways.values()
     ]
@@ -160,7 +160,7 @@
 
 
 async def _report_warm_up(stage, name: str, cold_left_ms: float) -> None:
-    await stage.show(name, 'plain', cold_left_ms=cold_left_ms)
+    await stage.publish_instance(name, 'plain', cold_left_ms=cold_left_ms)
     contexts = [role.context for role in stage.gateways.values()]
     await stage.wait_for(
         lambda: all(
@@ -202,7 +202,7 @@
 @given('u1 and u2 have become cold, which only their responses report')
 def respond_as_cold(context):
     for name in ('u1', 'u2'):
-        context.gateway_stage.upstreams[name].notices = {
+        context.gateway_stage.upstreams[name].response_headers = {
             'X-Ragworthollow-Cold-Ms': str(_WARM_UP_MS),
         }
 
@@ -271,7 +271,7 @@
         )
     )
     context.answers = stage.run(
-        send_staged(stage, count, '/staged/answer', names=(chosen,)),
+        send_stage_requests(stage, count, '/staged/answer', names=(chosen,)),
     )
 
 
--- a/tests/standins/upstream.py
+++ b/tests/standins/upstream.py
@@ -28,21 +28,21 @@
         self.stop_after = stop_after
         self.runs: list[SimpleNamespace] = []
         self.arrivals: list[SimpleNamespace] = []
-        self.left: list[str] = []
+        self.disconnected_request_ids: list[str] = []
         self.calls: list[list[dict]] = []
-        self.freed: list[str] = []
+        self.released_handles: list[str] = []
         self.connections = 0
         self.piece_ms = 1
         self.failing_pieces = 0
         self.active_calls = 0
-        self.most_busy = 0
+        self.max_active_calls = 0
         # Paused streams and held responses continue once this is set.
-        self.may_go_on = asyncio.Event()
+        self.resume_event = asyncio.Event()
         self._server: asyncio.Server | None = None
         self.address = ''
         self.has_crashed = False
         # Headers added to the responses.
-        self.notices: dict[str, str] = {}
+        self.response_headers: dict[str, str] = {}
         self.is_refusing = False
         self._open_writers: set[asyncio.StreamWriter] = set()
 
@@ -89,7 +89,9 @@
         if request.path == '/api/stage-run':
             return await self._run_pieces(request, writer)
         if request.path == '/api/stage-free':
-            self.freed += msgspec.json.decode(request.body)['handles']
+            self.released_handles += msgspec.json.decode(request.body)[
+                'handles'
+            ]
             _write_response(writer, '200 OK', {}, b'')
             return True
         if self.is_refusing:
@@ -104,7 +106,7 @@
             'X-Ragworthollow-Request-Id': request.request_id,
             'X-Ragworthollow-Response-Signature': f'{self.name}.signed',
             'X-Ragworthollow-Server-Load': '1,0,4',
-            **self.notices,
+            **self.response_headers,
         }
 
     async def _run_pieces(self, request, writer) -> bool:
@@ -114,17 +116,19 @@
             self.crash()
             return False
         self.active_calls += 1
-        self.most_busy = max(self.most_busy, self.active_calls)
+        self.max_active_calls = max(self.max_active_calls, self.active_calls)
         await asyncio.sleep(self.piece_ms / 1000)
         self.active_calls -= 1
         body = msgspec.json.encode(
             {'items': list(map(self._make_result, items))}
         )
-        _write_response(writer, '200 OK', self.notices, body)
+        _write_response(writer, '200 OK', self.response_headers, body)
         return True
 
     def _make_result(self, item: dict) -> dict[str, str]:
-        if any(handle in self.freed for handle in item.get('inputs', ())):
+        if any(
+            handle in self.released_handles for handle in item.get('inputs', ())
+        ):
             return {'reason': 'gone'}
         if item['stage'] and self.failing_pieces:
             self.failing_pieces -= 1
@@ -178,7 +182,7 @@
 
 
 async def _refuse(standin, _request, _reader, writer):
-    headers = {'X-Ragworthollow-Not-Executed': '1', **standin.notices}
+    headers = {'X-Ragworthollow-Not-Executed': '1', **standin.response_headers}
     _write_response(writer, '503 Service Unavailable', headers, b'')
     return True
 
@@ -250,7 +254,7 @@
     headers = standin.record_run(request)
     # While a request is in progress, the client can only disconnect.
     if await reader.read(1) == b'':
-        standin.left.append(request.request_id)
+        standin.disconnected_request_ids.append(request.request_id)
         return False
     _write_response(writer, '200 OK', headers, b'too late')
     return False
@@ -258,7 +262,7 @@
 
 async def _respond_when_allowed(standin, request, _reader, writer):
     headers = standin.record_run(request)
-    await standin.may_go_on.wait()
+    await standin.resume_event.wait()
     _write_response(writer, '200 OK', headers, b'whole answer')
     return True
 
@@ -285,7 +289,7 @@
     _start_stream(standin, request, writer)
     for number in range(1, _EVENT_COUNT + 1):
         if number == _EVENT_COUNT // 2:
-            await standin.may_go_on.wait()
+            await standin.resume_event.wait()
         _write_chunk(writer, _render_event(number))
     _write_chunk(writer, b'')
     return True
