--- a/tests/features/steps/answer_notices.py
+++ b/tests/features/steps/answer_notices.py
@@ -95,8 +95,8 @@
 def _record_work_count(context, name) -> None:
     work_count = _count_work_requests(_get_upstream(context, name))
     assert work_count
-    context.answered = {
-        **getattr(context, 'answered', {}),
+    context.work_counts = {
+        **getattr(context, 'work_counts', {}),
         name: work_count,
     }
 
@@ -125,7 +125,7 @@
         'X-Ragworthollow-Pieces': '1,2',
         'X-Ragworthollow-Piece-Key': 'key',
     }
-    context.answers = [
+    context.responses = [
         stage.run(
             stage.send(
                 '/staged/answer',
@@ -157,7 +157,7 @@
 
 def _send(context, path, count, gateway='g1') -> None:
     stage = context.gateway_stage
-    context.answers = [
+    context.responses = [
         stage.run(stage.send(path, gateway=gateway)) for _ in range(count)
     ]
 
@@ -212,7 +212,7 @@
 @then('{name:w} has got no work since its response')
 def check_no_new_work(context, name):
     upstream = _get_upstream(context, name)
-    assert _count_work_requests(upstream) == context.answered[name], [
+    assert _count_work_requests(upstream) == context.work_counts[name], [
         (request.path, request.body) for request in upstream.arrivals
     ]
 
@@ -221,23 +221,23 @@
 def check_new_work(context, name):
     assert (
         _count_work_requests(_get_upstream(context, name))
-        > context.answered[name]
+        > context.work_counts[name]
     )
 
 
 @then('all were served')
 def check_served(context):
-    assert all(response.status == 200 for response in context.answers)
+    assert all(response.status == 200 for response in context.responses)
 
 
 @then('the last one was served')
 def check_last_served(context):
-    assert context.answers[-1].status == 200
+    assert context.responses[-1].status == 200
 
 
 @then('all were refused as not run')
 def check_refused(context):
-    for response in context.answers:
+    for response in context.responses:
         assert response.status == 503, response
         assert 'Retry-After' in response.headers, response
 
@@ -245,5 +245,5 @@
 @then('all were refused as not run, for {least:d} to {most:d} seconds')
 def check_refused_for(context, least, most):
     check_refused(context)
-    for response in context.answers:
+    for response in context.responses:
         assert least <= float(response.headers['Retry-After']) <= most, response
--- a/tests/features/steps/at_most_once.py
+++ b/tests/features/steps/at_most_once.py
@@ -238,11 +238,11 @@
 @when('{count:d} requests are sent')
 def send_many(context, count):
     stage = context.stage
-    context.many = [stage.callers.make(_PIPELINE) for _ in range(count)]
+    context.requests = [stage.callers.make(_PIPELINE) for _ in range(count)]
 
     async def send_all():
         await asyncio.gather(
-            *(stage.callers.send(request) for request in context.many)
+            *(stage.callers.send(request) for request in context.requests)
         )
 
     stage.run(send_all())
@@ -251,7 +251,9 @@
 @then('all of them are answered')
 def check_all_answered(context):
     unanswered = [
-        request for request in context.many if 'done' not in request.outcomes
+        request
+        for request in context.requests
+        if 'done' not in request.outcomes
     ]
     assert not unanswered, unanswered
 
@@ -320,7 +322,9 @@
 def retry_unanswered(context):
     stage = context.stage
     unanswered = [
-        request for request in context.many if 'done' not in request.outcomes
+        request
+        for request in context.requests
+        if 'done' not in request.outcomes
     ]
 
     async def send_all():
@@ -335,7 +339,7 @@
 def check_final_outcomes(context):
     unfinished = [
         request
-        for request in context.many
+        for request in context.requests
         if not {'done', 'unknown', 'not_run'} & set(request.outcomes)
     ]
     assert not unfinished, unfinished
--- a/tests/features/steps/domain_drains.py
+++ b/tests/features/steps/domain_drains.py
@@ -122,13 +122,13 @@
 @when('{count:d} requests go to {path:S}')
 def send(context, count, path):
     stage = context.gateway_stage
-    context.answers = stage.run(_send(stage, path, count, 'g1'))
+    context.responses = stage.run(_send(stage, path, count, 'g1'))
 
 
 @when('{count:d} requests go to {path:S} at the new gateway')
 def send_to_new_gateway(context, count, path):
     stage = context.gateway_stage
-    context.answers = stage.run(_send(stage, path, count, 'g9'))
+    context.responses = stage.run(_send(stage, path, count, 'g9'))
 
 
 @when('callers with stage work post {count:d} requests')
@@ -136,16 +136,16 @@
     stage = context.gateway_stage
     loop = stage.loop
     began_s = loop.time()
-    context.answers = stage.run(
+    context.responses = stage.run(
         send_stage_requests(stage, count, '/staged/answer')
     )
-    for response in context.answers:
+    for response in context.responses:
         response.took_s = loop.time() - began_s
 
 
 @when('a stream is under way and domain one is drained')
 def drain_during_stream(context):
-    context.answer = context.gateway_stage.run(
+    context.response = context.gateway_stage.run(
         _drain_during_stream(context.gateway_stage),
     )
 
@@ -198,13 +198,13 @@
 
 @then('each caller was served')
 def check_served(context):
-    statuses = [response.status for response in context.answers]
+    statuses = [response.status for response in context.responses]
     assert set(statuses) == {200}, statuses
 
 
 @then('each caller was refused at once as not run')
 def check_refused(context):
-    for response in context.answers:
+    for response in context.responses:
         assert response.status == 503, response
         assert 'Retry-After' in response.headers, response
         assert response.took_s < _IMMEDIATE_S, response
@@ -218,14 +218,14 @@
         for candidate in text.splitlines()
         if 'reason="domain_drained"' in candidate and '_total{' in candidate
     ]
-    assert float(line.split()[-1]) == len(context.answers), line
+    assert float(line.split()[-1]) == len(context.responses), line
 
 
 @then('the stream is complete')
 def check_stream_complete(context):
-    assert context.answer.status == 200
-    assert context.answer.is_whole
-    assert context.answer.body.count(b'data:') == _STREAM_EVENTS
+    assert context.response.status == 200
+    assert context.response.is_whole
+    assert context.response.body.count(b'data:') == _STREAM_EVENTS
 
 
 @then('no result was released at {name:w}')
--- a/tests/features/steps/door.py
+++ b/tests/features/steps/door.py
@@ -48,7 +48,7 @@
         outcome = stage.run(stage.callers.send(stage.callers.make(_PIPELINE)))
         assert outcome == 'done', outcome
         return
-    context.answer = context.stage.run(
+    context.response = context.stage.run(
         _post_request(context, _get_request_parts(what))
     )
 
@@ -71,7 +71,7 @@
 
 @then('the status is {status:d} with reason {reason} and outcome {outcome}')
 def check_refusal(context, status, reason, outcome):
-    answer = context.answer
+    answer = context.response
     assert answer['status'] == status, answer
     assert answer['outcome'] == outcome, answer
     refusal = answer['refusal']
--- a/tests/features/steps/gate_hosts.py
+++ b/tests/features/steps/gate_hosts.py
@@ -25,7 +25,7 @@
 )
 def kill_host(context, count):
     stage = context.gateway_stage
-    context.answers = stage.run(_kill_host(stage, count))
+    context.responses = stage.run(_kill_host(stage, count))
 
 
 async def _kill_host(stage, count):
@@ -56,7 +56,7 @@
 @when('the host of the scheduler stops while {count:d} callers wait for pieces')
 def stop_host(context, count):
     stage = context.gateway_stage
-    context.answers = stage.run(_stop_host(stage, count))
+    context.responses = stage.run(_stop_host(stage, count))
 
 
 async def _stop_host(stage, count):
--- a/tests/features/steps/gateway.py
+++ b/tests/features/steps/gateway.py
@@ -23,7 +23,7 @@
 def _count_runs(context) -> int:
     stage = context.gateway_stage
     return sum(
-        upstream.count_runs(context.answer.request_id)
+        upstream.count_runs(context.response.request_id)
         for upstream in stage.upstreams.values()
     )
 
@@ -31,13 +31,13 @@
 @when('a caller posts to {path:S}')
 def post(context, path):
     stage = context.gateway_stage
-    context.answer = stage.run(stage.send(path))
+    context.response = stage.run(stage.send(path))
 
 
 @when('a caller gets {path:S}')
 def get(context, path):
     stage = context.gateway_stage
-    context.answer = stage.run(stage.send(path, method='GET'))
+    context.response = stage.run(stage.send(path, method='GET'))
 
 
 @when('{count:d} callers post to {path:S}')
@@ -47,19 +47,19 @@
     async def send_all():
         return await asyncio.gather(*(stage.send(path) for _ in range(count)))
 
-    context.answers = stage.run(send_all())
+    context.responses = stage.run(send_all())
 
 
 @then('it gets status {status:d} and the request has run {runs:d} times')
 def check_status(context, status, runs):
-    response = context.answer
+    response = context.response
     assert response.status == status, response
     assert _count_runs(context) == runs, _count_runs(context)
 
 
 @then('the answer has a Retry-After and no signature')
 def check_refusal(context):
-    headers = context.answer.headers
+    headers = context.response.headers
     assert float(headers['Retry-After']) > 0
     assert 'X-Ragworthollow-Response-Signature' not in headers
 
@@ -82,7 +82,7 @@
 
 @then('each of them got its own complete response')
 def check_own_responses(context):
-    for response in context.answers:
+    for response in context.responses:
         assert response.status == 200, response
         assert response.body == b'whole answer', response
         echoed = response.headers['X-Ragworthollow-Request-Id']
@@ -93,17 +93,17 @@
 def send_forged_headers(context):
     stage = context.gateway_stage
     sending = stage.send('/unsafe/answer', headers=_FORGED_HEADERS)
-    context.answer = stage.run(sending)
+    context.response = stage.run(sending)
 
 
 @then("the upstream saw the system's own and never the caller's key")
 def check_forged(context):
-    assert context.answer.status == 200, context.answer
+    assert context.response.status == 200, context.response
     (run,) = [
         run
         for upstream in context.gateway_stage.upstreams.values()
         for run in upstream.runs
-        if run.request_id == context.answer.request_id
+        if run.request_id == context.response.request_id
     ]
     assert run.headers['x-ragworthollow-tenant'] == 'one'
     assert run.headers['x-ragworthollow-request-priority'] == '2'
@@ -116,7 +116,7 @@
 @when('the gateway is sent {what}')
 def send_refused(context, what):
     stage = context.gateway_stage
-    context.answer = stage.run(_send_refused(stage, what))
+    context.response = stage.run(_send_refused(stage, what))
 
 
 async def _send_refused(stage, what):
@@ -149,19 +149,19 @@
 
 
 def _body(context) -> bytes:
-    return context.answer.body
+    return context.response.body
 
 
 @then('it gets all {count:d} events once, in order, and the end')
 def check_stream(context, count):
     assert _get_event_ids(context) == list(range(1, count + 1)), _body(context)
-    assert context.answer.is_whole
+    assert context.response.is_whole
 
 
 @then('it gets {count:d} events and a broken connection')
 def check_truncated_stream(context, count):
     assert _get_event_ids(context) == list(range(1, count + 1)), _body(context)
-    assert not context.answer.is_whole
+    assert not context.response.is_whole
 
 
 @when('a caller disconnects while {path} is worked on')
@@ -198,7 +198,7 @@
 @when('a caller waits {limit_ms:d} ms for {path}')
 def send_with_timeout(context, limit_ms, path):
     stage = context.gateway_stage
-    context.answer = stage.run(stage.send(path, limit_ms=limit_ms))
+    context.response = stage.run(stage.send(path, limit_ms=limit_ms))
 
 
 @given('instance {name} reports that it shuts down')
@@ -219,7 +219,7 @@
 @then('instance {name} got none of them')
 def check_no_requests(context, name):
     upstream = context.gateway_stage.upstreams[name]
-    request_ids = {response.request_id for response in context.answers}
+    request_ids = {response.request_id for response in context.responses}
     assert not request_ids & {
         request.request_id for request in upstream.arrivals
     }
@@ -370,7 +370,7 @@
     assert not context.stopping.done()
     for upstream in stage.upstreams.values():
         upstream.resume_event.set()
-    context.answer = stage.run(asyncio.wait_for(context.streaming, 20))
+    context.response = stage.run(asyncio.wait_for(context.streaming, 20))
     stage.run(asyncio.wait_for(context.stopping, 20))
 
 
--- a/tests/features/steps/gateway_fleet.py
+++ b/tests/features/steps/gateway_fleet.py
@@ -60,14 +60,14 @@
 @when('{count:d} callers post to {path:S} through all gateways')
 def send_through_all(context, count, path):
     stage = context.gateway_stage
-    context.answers = stage.run(send_stage_requests(stage, count, path))
+    context.responses = stage.run(send_stage_requests(stage, count, path))
 
 
 @then('each ran once with all inputs of its own')
 def check_inputs(context):
     stage = context.gateway_stage
     address = stage.upstreams['s1'].address
-    for response in context.answers:
+    for response in context.responses:
         (run,) = [
             run
             for name in _PLAIN_INSTANCES
@@ -85,7 +85,7 @@
 def check_calls(context):
     calls = context.gateway_stage.upstreams['s1'].calls
     pieces = sum(len(call) for call in calls)
-    assert pieces == 3 * len(context.answers), pieces
+    assert pieces == 3 * len(context.responses), pieces
     assert len(calls) < pieces, calls
 
 
--- a/tests/features/steps/homes.py
+++ b/tests/features/steps/homes.py
@@ -68,7 +68,7 @@
         )
 
     start_s = stage.loop.time()
-    context.answers = stage.run(send_all())
+    context.responses = stage.run(send_all())
     context.took_s = stage.loop.time() - start_s
 
 
@@ -81,12 +81,12 @@
         if any(upstreams[name].runs for name in names)
     }
     assert used_regions == set(_parse_regions(regions)), used_regions
-    assert {answer.status for answer in context.answers} == {200}
+    assert {answer.status for answer in context.responses} == {200}
 
 
 @then('all were refused at once as not run, and nothing ran')
 def check_refused(context):
-    for answer in context.answers:
+    for answer in context.responses:
         assert answer.status == 503, answer
         assert 'Retry-After' in answer.headers, answer
     assert context.took_s < _MAX_REFUSAL_S, context.took_s
--- a/tests/features/steps/hop.py
+++ b/tests/features/steps/hop.py
@@ -83,7 +83,7 @@
 
 @when('an entry sends it a {kind} call')
 def call_sidecar(context, kind):
-    context.answer = asyncio.run(_call_sidecar(context.behaviour, kind))
+    context.response = asyncio.run(_call_sidecar(context.behaviour, kind))
 
 
 async def _call_sidecar(behaviour: str, kind: str) -> StageAnswer:
@@ -151,7 +151,7 @@
 
 @then('the attempt ended as {outcome} for {reason}')
 def check_outcome(context, outcome, reason):
-    answer = context.answer
+    answer = context.response
     assert answer.outcome == outcome, answer
     if reason == 'nothing':
         assert answer.refusal is None
--- a/tests/features/steps/late_service.py
+++ b/tests/features/steps/late_service.py
@@ -209,7 +209,7 @@
 )
 def play_both(context):
     context.with_deferral = _play_days(())
-    context.without = _play_days(_NO_DEFERRAL)
+    context.without_deferral = _play_days(_NO_DEFERRAL)
 
 
 def _play_days(settings):
@@ -238,7 +238,7 @@
 @then('at most half as many requests are unserved with it')
 def check_unserved(context):
     with_deferral = _count_unserved(context.with_deferral)
-    without_deferral = _count_unserved(context.without)
+    without_deferral = _count_unserved(context.without_deferral)
     assert with_deferral <= without_deferral / 2, (
         with_deferral,
         without_deferral,
@@ -248,7 +248,7 @@
 @then('no less of the worth is attained')
 def check_attained(context):
     attained = _sum_attained(context.with_deferral)
-    assert attained >= _sum_attained(context.without), attained
+    assert attained >= _sum_attained(context.without_deferral), attained
 
 
 @given('a process without a configuration')
@@ -288,7 +288,7 @@
             )
         return await admission.admit(request, 0)
 
-    context.answer = context.stage.run(admit())
+    context.response = context.stage.run(admit())
 
 
 @when(
@@ -306,11 +306,11 @@
 
 @then('the request is handled with that configuration')
 def check_configuration_applied(context):
-    assert isinstance(context.answer, Err)
-    assert context.answer.err_value.reason is Reason.unknown_route
+    assert isinstance(context.response, Err)
+    assert context.response.err_value.reason is Reason.unknown_route
 
 
 @then('it ends as one without a configuration')
 def check_not_configured(context):
-    assert context.answer.err_value.reason is Reason.not_configured
+    assert context.response.err_value.reason is Reason.not_configured
     assert context.stage.get_ms() == 100, context.stage.get_ms()
--- a/tests/features/steps/lost_calls.py
+++ b/tests/features/steps/lost_calls.py
@@ -282,7 +282,9 @@
         for name in map(str, range(100))
         if context.members.find_highest_ranked(name).instance != 'g0'
     )
-    context.first = context.members.find_highest_ranked(context.pool_name)
+    context.first_ranked = context.members.find_highest_ranked(
+        context.pool_name
+    )
     context.host_pinger = HostPinger(
         context=SimpleNamespace(),
         members=context.members,
@@ -292,8 +294,8 @@
 
 
 def _apply_host_state(context, *, can_host: bool) -> None:
-    state = HostState(instance=context.first.instance, can_host=can_host)
-    context.host_pinger.apply_state(context.first, state)
+    state = HostState(instance=context.first_ranked.instance, can_host=can_host)
+    context.host_pinger.apply_state(context.first_ranked, state)
 
 
 def _find_host(context) -> str:
@@ -304,19 +306,19 @@
 @when('it reports that it knows no instances')
 def report_no_instances(context):
     _apply_host_state(context, can_host=True)
-    assert _find_host(context) == context.first.instance
+    assert _find_host(context) == context.first_ranked.instance
     _apply_host_state(context, can_host=False)
 
 
 @then('the next in rank hosts the scheduler')
 def check_next_host(context):
-    assert _find_host(context) != context.first.instance
+    assert _find_host(context) != context.first_ranked.instance
 
 
 @then('it hosts it again when it knows them')
 def check_first_host(context):
     _apply_host_state(context, can_host=True)
-    assert _find_host(context) == context.first.instance
+    assert _find_host(context) == context.first_ranked.instance
 
 
 @when('the loop of a gateway that polls the store ends with an error')
--- a/tests/features/steps/named_limits.py
+++ b/tests/features/steps/named_limits.py
@@ -76,7 +76,7 @@
         name: len(upstream.arrivals)
         for name, upstream in stage.upstreams.items()
     }
-    context.answers = stage.run(send())
+    context.responses = stage.run(send())
 
 
 @then('{name:w} has got no more since then than a limit of {limit:g} allows')
@@ -116,7 +116,7 @@
     async def send() -> list:
         return await asyncio.gather(*(stage.send(path) for _ in range(count)))
 
-    context.answers = stage.run(send())
+    context.responses = stage.run(send())
 
 
 @when('{count:d} callers post stage work at all gateways together')
--- a/tests/features/steps/quarantine.py
+++ b/tests/features/steps/quarantine.py
@@ -67,7 +67,7 @@
 @when('a caller posts to {path:S} {count:d} times, at each gateway in turn')
 def send_in_turn(context, path, count):
     stage = context.gateway_stage
-    context.answers = stage.run(
+    context.responses = stage.run(
         _send_in_turn(stage, context.crashing_pool, path, count),
     )
 
@@ -108,7 +108,7 @@
 
 @then('the last attempts were refused as not run, with a long retry delay')
 def check_refusals(context):
-    for response in context.answers[-_LAST_ATTEMPTS:]:
+    for response in context.responses[-_LAST_ATTEMPTS:]:
         assert response.status == 503, response
         assert float(response.headers['Retry-After']) > _MIN_RETRY_AFTER_S, (
             response
--- a/tests/features/steps/slow_calls.py
+++ b/tests/features/steps/slow_calls.py
@@ -26,7 +26,7 @@
     context.now_ms = 0
     context.calls_of_slow = []
     pool_config = SimpleNamespace(pieces=context.pool.profile)
-    context.outcomes = CallResultHandler(
+    context.result_handler = CallResultHandler(
         context=SimpleNamespace(
             load_tracker=context.pool.load_tracker,
             metrics=Metrics(),
@@ -76,12 +76,16 @@
     elapsed_ms = context.now_ms - call.started_ms
     if elapsed_ms > 2.5 * call.expected_ms and not running_call.is_reported:
         running_call.is_reported = True
-        context.outcomes.record_slow_call('p', context.pool.scheduler, call)
+        context.result_handler.record_slow_call(
+            'p', context.pool.scheduler, call
+        )
     if elapsed_ms < call.expected_ms * (context.factor if is_slow else 1):
         return True
     context.pool.scheduler.finish(call)
     results = tuple(_DONE for _ in call.pieces)
-    context.outcomes.record_results('p', context.pool.scheduler, call, results)
+    context.result_handler.record_results(
+        'p', context.pool.scheduler, call, results
+    )
     return False
 
 
--- a/tests/features/steps/streams.py
+++ b/tests/features/steps/streams.py
@@ -62,13 +62,15 @@
 @when('{count:d} streamed requests are sent')
 def send_streams(context, count):
     stage = context.stage
-    context.many = [stage.callers.make('lot-summaries') for _ in range(count)]
+    context.requests = [
+        stage.callers.make('lot-summaries') for _ in range(count)
+    ]
 
     async def send_all():
         await asyncio.gather(
             *(
                 stage.callers.send(request, stream=True)
-                for request in context.many
+                for request in context.requests
             ),
         )
 
@@ -78,10 +80,10 @@
 @when('{count:d} requests of any kind are sent')
 def send_any(context, count):
     stage = context.stage
-    context.many = [stage.callers.make() for _ in range(count)]
+    context.requests = [stage.callers.make() for _ in range(count)]
 
     async def send_all():
-        for request in context.many:
+        for request in context.requests:
             await stage.callers.send(request)
 
     stage.run(send_all())
@@ -169,4 +171,4 @@
         if line.startswith('ragworthollow_attempts_total')
         and 'outcome="failed"' in line
     )
-    assert failed < len(context.many) / 2, failed
+    assert failed < len(context.requests) / 2, failed
--- a/tests/features/steps/warm_up.py
+++ b/tests/features/steps/warm_up.py
@@ -253,7 +253,7 @@
         )
 
     began_s = stage.loop.time()
-    context.answers = stage.run(send())
+    context.responses = stage.run(send())
     context.took_s = stage.loop.time() - began_s
 
 
@@ -270,23 +270,23 @@
             get_monotonic_ms(),
         )
     )
-    context.answers = stage.run(
+    context.responses = stage.run(
         send_stage_requests(stage, count, '/staged/answer', names=(chosen,)),
     )
 
 
 @then('some were served, and the others refused at once as not run')
 def check_some_served(context):
-    statuses = [response.status for response in context.answers]
+    statuses = [response.status for response in context.responses]
     assert set(statuses) == {200, 503}, statuses
     assert context.took_s < _IMMEDIATE_S, context.took_s
-    for response in context.answers:
+    for response in context.responses:
         assert response.status == 200 or 'Retry-After' in response.headers
 
 
 @then('all of them were served')
 def check_all_served(context):
-    assert {response.status for response in context.answers} == {200}
+    assert {response.status for response in context.responses} == {200}
 
 
 @then('{name:w} got no more than 2 requests')
