--- a/tests/features/steps/domain_drains.py
+++ b/tests/features/steps/domain_drains.py
@@ -235,7 +235,7 @@
 
 @when('pieces wait for a pool whose domain is drained')
 def queue_in_drained(context):
-    context.found = context.gateway_stage.run(
+    context.results = context.gateway_stage.run(
         _queue_in_drained(context.gateway_stage),
     )
 
@@ -286,7 +286,7 @@
 
 @then('they end at once as drained')
 def check_drained(context):
-    outcomes = {result.outcome for result in context.found}
+    outcomes = {result.outcome for result in context.results}
     assert outcomes == {PieceOutcome.drained}, outcomes
 
 
--- a/tests/features/steps/instance_entries.py
+++ b/tests/features/steps/instance_entries.py
@@ -171,12 +171,12 @@
     'requests running'
 )
 def create_failed_instance(context, failures, running):
-    context.book = LoadTracker()
-    context.subscriber, _ = _make_subscriber(context.book)
+    context.load_tracker = LoadTracker()
+    context.subscriber, _ = _make_subscriber(context.load_tracker)
     context.subscriber.apply_instances([_make_instance(1000)], 0)
     for _ in range(failures):
-        context.book.record_failure('i1', 0)
-    context.record = context.book.get('i1')
+        context.load_tracker.record_failure('i1', 0)
+    context.record = context.load_tracker.get('i1')
     context.record.in_flight += running
 
 
@@ -192,7 +192,7 @@
 
 @then('it is no longer avoided and counted as idle')
 def check_reset(context):
-    record = context.book.get('i1')
+    record = context.load_tracker.get('i1')
     assert record.suspect_until_ms < 0
     assert record.in_flight == 0
 
@@ -200,13 +200,13 @@
 @then('the end of a request at its earlier incarnation changes nothing')
 def end_old_request(context):
     context.record.in_flight -= 1
-    assert context.book.get('i1').in_flight == 0
+    assert context.load_tracker.get('i1').in_flight == 0
 
 
 @then('it is still avoided')
 def check_still_suspected(context):
-    assert context.book.get('i1').suspect_until_ms > 1000
-    assert context.book.get('i1').in_flight == 3
+    assert context.load_tracker.get('i1').suspect_until_ms > 1000
+    assert context.load_tracker.get('i1').in_flight == 3
 
 
 def _list_stage_instance(stage, started_unix_ms: int) -> None:
--- a/tests/features/steps/upstreams.py
+++ b/tests/features/steps/upstreams.py
@@ -177,30 +177,34 @@
 
 @when('i0 fails three times in a row')
 def fail_three(context):
-    context.book = LoadTracker()
+    context.load_tracker = LoadTracker()
     for now_ms in (0, 500, 1500):
-        context.book.record_failure('i0', now_ms)
+        context.load_tracker.record_failure('i0', now_ms)
 
 
 @then('it gets nothing for 2 seconds and is used again after that')
 def check_avoided(context):
     instances = [_make_instance(0), _make_instance(1)]
-    context.book.get('i1').in_flight = 10
-    assert _choose(instances, context.book, now_ms=3400).instance == 'i1'
-    assert _choose(instances, context.book, now_ms=3501).instance == 'i0'
+    context.load_tracker.get('i1').in_flight = 10
+    assert (
+        _choose(instances, context.load_tracker, now_ms=3400).instance == 'i1'
+    )
+    assert (
+        _choose(instances, context.load_tracker, now_ms=3501).instance == 'i0'
+    )
 
 
 @when('all instances fail')
 def fail_all(context):
-    context.book = LoadTracker()
+    context.load_tracker = LoadTracker()
     for number in range(2):
-        context.book.record_failure(f'i{number}', 0)
+        context.load_tracker.record_failure(f'i{number}', 0)
 
 
 @then('one of them is still chosen')
 def check_chosen(context):
     instances = [_make_instance(0), _make_instance(1)]
-    assert _choose(instances, context.book) is not None
+    assert _choose(instances, context.load_tracker) is not None
 
 
 def _make_table(prefixes) -> RouteTable:
