--- a/tests/features/steps/configuration_fleet.py
+++ b/tests/features/steps/configuration_fleet.py
@@ -99,13 +99,13 @@
             ),
         )
 
-    context.done = context.stage.run(apply_both())
+    context.completed = context.stage.run(apply_both())
 
 
 @then('both are accepted and active in every process')
 def check_both_active(context):
-    assert not any(completed.returncode for completed in context.done), (
-        context.done
+    assert not any(completed.returncode for completed in context.completed), (
+        context.completed
     )
     _wait_for_generation(context, context.before + 2)
 
@@ -117,15 +117,17 @@
     _append_comment(first, 'pikselis', 'first')
     _append_comment(second, 'pikselis', 'second')
     context.first = _apply(context, 'pikselis', first)
-    context.done = _apply(context, 'pikselis', second)
+    context.completed = _apply(context, 'pikselis', second)
 
 
 @then('the later one gets a conflict that names {operator}')
 def check_conflict(context, operator):
     assert not context.first.returncode, context.first
-    assert context.done.returncode == 1, context.done
-    assert 'conflict' in context.done.stderr, context.done
-    assert f'changed by {operator}' in context.done.stderr, context.done
+    assert context.completed.returncode == 1, context.completed
+    assert 'conflict' in context.completed.stderr, context.completed
+    assert f'changed by {operator}' in context.completed.stderr, (
+        context.completed
+    )
 
 
 @when('storefronts applies a change of the file of pikselis')
@@ -133,7 +135,7 @@
     context.before = _get_generation(context)
     folder = _pull(context, 'pikselis')
     _append_comment(folder, 'pikselis', 'rival')
-    context.done = context.stage.fleet.run_tool(
+    context.completed = context.stage.fleet.run_tool(
         'storefronts',
         'apply',
         str(folder),
@@ -150,21 +152,21 @@
     (folder / '90-override.yaml').write_text(
         'owner: storefronts\npools:\n  portal: {concurrency: 1}\n',
     )
-    context.done = _apply(context, 'storefronts', folder)
+    context.completed = _apply(context, 'storefronts', folder)
 
 
 @then('it is refused and nothing changes')
 def check_refused(context):
-    assert context.done.returncode, context.done
-    assert context.done.stderr, context.done
-    assert 'Traceback' not in context.done.stderr, context.done.stderr
+    assert context.completed.returncode, context.completed
+    assert context.completed.stderr, context.completed
+    assert 'Traceback' not in context.completed.stderr, context.completed.stderr
     assert _get_generation(context) == context.before
 
 
 @then('it is refused with {check_id} and nothing changes')
 def check_refused_with(context, check_id):
     check_refused(context)
-    assert check_id in context.done.stderr, context.done.stderr
+    assert check_id in context.completed.stderr, context.completed.stderr
 
 
 @when('the platform loses the answer to a change of pikselis')
@@ -176,13 +178,13 @@
     context.stage.run(
         fleet.set_faults(fleet.plan.kv_port, lose_answer=1, left=3),
     )
-    context.done = [_apply(context, 'pikselis', folder)]
+    context.completed = [_apply(context, 'pikselis', folder)]
     context.stage.run(fleet.set_faults(fleet.plan.kv_port))
 
 
 @then('the change is accepted once and active in every process')
 def check_applied_once(context):
-    assert not context.done[0].returncode, context.done
+    assert not context.completed[0].returncode, context.completed
     _wait_for_generation(context, context.before + 1)
     assert _get_generation(context) == context.before + 1
 
@@ -200,8 +202,8 @@
         await fleet.set_faults(fleet.plan.kv_port, down_after_manifest=1)
         return await asyncio.to_thread(_apply, context, 'pikselis', folder)
 
-    context.done = [context.stage.run(set_fault_and_apply())]
-    assert not context.done[0].returncode, context.done
+    context.completed = [context.stage.run(set_fault_and_apply())]
+    assert not context.completed[0].returncode, context.completed
 
 
 @then('the change is active in every process')
@@ -280,7 +282,7 @@
 def send_invalid_change(context, what):
     context.before = _get_generation(context)
     if what == 'a change with a wrong key':
-        context.done = context.stage.fleet.run_tool(
+        context.completed = context.stage.fleet.run_tool(
             'nobody',
             'history',
         )
@@ -288,7 +290,7 @@
     folder = _pull(context, 'pikselis')
     content = _INVALID_FILES[what]
     (folder / '15-bad.yaml').write_bytes(content)
-    context.done = _apply(context, 'pikselis', folder)
+    context.completed = _apply(context, 'pikselis', folder)
     if len(content) < 1_000_000 and b'\xff' not in content:
         # The service has to refuse it, too, without the checks of the tool.
         result = context.stage.run(_post_change(context, content.decode()))
@@ -359,12 +361,12 @@
 
 @when('the history is shown')
 def show_history(context):
-    context.done = context.stage.fleet.run_tool('consortium', 'history')
+    context.completed = context.stage.fleet.run_tool('consortium', 'history')
 
 
 @then('it names {operator} and its files')
 def check_history(context, operator):
-    lines = context.done.stdout.splitlines()
+    lines = context.completed.stdout.splitlines()
     assert any(
         operator in line and _OPERATOR_FILES[operator] in line for line in lines
     ), lines
--- a/tests/features/steps/grace_time.py
+++ b/tests/features/steps/grace_time.py
@@ -45,10 +45,12 @@
     'for {suspended_ms:d} ms, {after_ms:d} ms after it was asked to',
 )
 def shut_down(context, suspended_ms, after_ms):
-    context.found = run_virtually(_shut_down(suspended_ms, after_ms))
+    context.shutdown = run_virtually(_shut_down(suspended_ms, after_ms))
 
 
 @then('it has cancelled the request before its grace time was over')
 def check_aborted_in_time(context):
-    assert context.found.is_aborted
-    assert context.found.elapsed_ms < _GRACE_S * 1000, context.found.elapsed_ms
+    assert context.shutdown.is_aborted
+    assert context.shutdown.elapsed_ms < _GRACE_S * 1000, (
+        context.shutdown.elapsed_ms
+    )
--- a/tests/features/steps/hedging.py
+++ b/tests/features/steps/hedging.py
@@ -107,13 +107,15 @@
         cost_ms=0,
         effects=EffectTracker(),
     )
-    context.last = asyncio.run(context.runner.run(context.work))
+    context.final_answer = asyncio.run(context.runner.run(context.work))
 
 
 @then('the outcome of the request is {outcome}')
 def check_outcome(context, outcome):
-    assert context.last.outcome is Outcome.not_run, context.last
-    outcome_found = context.work.effects.get_outcome(context.last.outcome)
+    assert context.final_answer.outcome is Outcome.not_run, context.final_answer
+    outcome_found = context.work.effects.get_outcome(
+        context.final_answer.outcome
+    )
     assert outcome_found == outcome, outcome_found
 
 
--- a/tests/features/steps/settings.py
+++ b/tests/features/steps/settings.py
@@ -53,7 +53,7 @@
                 yaml.safe_dump({**_VALID_SETTINGS, **_INVALID_FIELDS[what]})
             )
         daemon = Path(sys.executable).parent / 'ragworthd'
-        context.done = subprocess.run(
+        context.completed = subprocess.run(
             [str(daemon), '--settings', str(path)],
             capture_output=True,
             text=True,
@@ -64,7 +64,7 @@
 
 @then('it ends with exit code 2 and one line with {check_id} and {words}')
 def check_exit(context, check_id, words):
-    completed = context.done
+    completed = context.completed
     assert completed.returncode == 2, completed
     lines = completed.stderr.strip().splitlines()
     assert len(lines) == 1, lines
