--- a/tests/features/steps/named_limits.py
+++ b/tests/features/steps/advertised_limits.py
@@ -21,7 +21,7 @@
     read_limit_update,
 )
 from ragworthollow.utils import get_boottime_ms, get_monotonic_ms
-from tests.fixtures.staged import GATEWAY_NAMES, send_stage_requests
+from tests.fixtures.stage_requests import GATEWAY_NAMES, send_stage_requests
 
 _LIMIT_HEADER = 'Server-Limit'
 _WINDOW_S = 4
--- a/tests/features/steps/answer_notices.py
+++ b/tests/features/steps/answer_notices.py
@@ -3,7 +3,7 @@
 from behave import given, then, when
 
 from ragworthollow.utils import get_monotonic_ms
-from tests.fixtures.staged import GATEWAY_NAMES, send_stage_requests
+from tests.fixtures.stage_requests import GATEWAY_NAMES, send_stage_requests
 from tests.standins.upstream import UpstreamStandin
 
 _MAX_ATTEMPTS = 40
--- a/tests/features/steps/domain_drains.py
+++ b/tests/features/steps/domain_drains.py
@@ -21,7 +21,7 @@
 from tests.fixtures.commands import run_command
 from tests.fixtures.gateways import make_settings
 from tests.fixtures.piece_pool import make_waiting_piece
-from tests.fixtures.staged import send_stage_requests
+from tests.fixtures.stage_requests import send_stage_requests
 from tests.fixtures.throttles import make_throttle
 
 _DRAIN_PREFIX = 'op/evacuate/'
--- a/tests/features/steps/gateway_fleet.py
+++ b/tests/features/steps/gateway_fleet.py
@@ -5,7 +5,7 @@
 from behave import given, then, when
 
 from ragworthollow.utils import get_boottime_ms
-from tests.fixtures.staged import GATEWAY_NAMES, send_stage_requests
+from tests.fixtures.stage_requests import GATEWAY_NAMES, send_stage_requests
 
 _PLAIN_INSTANCES = ('u1', 'u2')
 
--- a/tests/features/steps/lapsed_entries.py
+++ b/tests/features/steps/lapsed_entries.py
@@ -12,7 +12,7 @@
 from ragworthollow.conf import global_settings
 from ragworthollow.upstreams import Directory, UpstreamInstance
 from ragworthollow.utils import override_clocks
-from tests.fixtures.store_followers import make_store_poller
+from tests.fixtures.store_pollers import make_store_poller
 
 _KEYS = ('servers/a', 'servers/b')
 _OUTAGE_START_MS = st.integers(5000, 15_000)
--- a/tests/features/steps/once_ownership.py
+++ b/tests/features/steps/once_ownership.py
@@ -6,7 +6,7 @@
 
 from ragworthollow.once.assignment import get_range
 from ragworthollow.once.ownership import OwnershipStatus
-from tests.fixtures.once_model import Model, make_state_machine
+from tests.fixtures.ownership_model import Model, make_state_machine
 
 
 @given('the protocol with all its guards')
--- a/tests/features/steps/popular_requests.py
+++ b/tests/features/steps/popular_requests.py
@@ -5,7 +5,7 @@
 
 from behave import given, then, when
 
-from tests.fixtures.staged import GATEWAY_NAMES
+from tests.fixtures.stage_requests import GATEWAY_NAMES
 from tests.standins.upstream import CRASHING_KEY, UpstreamStandin
 
 # Each crash uses a new path, as a request is quarantined after two crashes.
--- a/tests/features/steps/quarantine.py
+++ b/tests/features/steps/quarantine.py
@@ -8,7 +8,7 @@
 from ragworthollow_ctl.commands.release import release
 from tests.fixtures.commands import run_command
 from tests.fixtures.gateways import HOST
-from tests.fixtures.staged import GATEWAY_NAMES
+from tests.fixtures.stage_requests import GATEWAY_NAMES
 from tests.standins.upstream import CRASHING_KEY
 
 _MIN_INSTANCES = 4
--- a/tests/features/steps/gate_hosts.py
+++ b/tests/features/steps/scheduler_hosts.py
@@ -8,7 +8,7 @@
 from ragworthollow.pieces import StoredResult
 from ragworthollow.transport.piece_messages import ResultsRelease
 from ragworthollow_daemon.gateway.piece_exchange import FREE_PATH
-from tests.fixtures.staged import GATEWAY_NAMES, send_stage_requests
+from tests.fixtures.stage_requests import GATEWAY_NAMES, send_stage_requests
 
 # Later than any reading of this machine's monotonic clock.
 _FAR_FUTURE_MS = 1e15
--- a/tests/features/steps/store_bounds.py
+++ b/tests/features/steps/store_bounds.py
@@ -12,7 +12,7 @@
 from measure.replica_fleet.store_session import StoreSession
 from ragworthollow.conf import global_settings
 from ragworthollow.utils import override_clocks
-from tests.fixtures.store_followers import make_store_poller
+from tests.fixtures.store_pollers import make_store_poller
 from tests.standins.thin_link import BYTES_PER_MBIT
 
 _OBSERVATION_S = 30
--- a/tests/features/steps/store_news.py
+++ b/tests/features/steps/store_news.py
@@ -12,7 +12,7 @@
 from ragworthollow.conf import global_settings
 from ragworthollow.replica import derive_poll_intervals
 from tests.fixtures.news_model import NewsModel
-from tests.fixtures.news_variants import VARIANTS
+from tests.fixtures.replica_variants import VARIANTS
 from tests.standins.thin_link import BYTES_PER_MBIT
 
 _TROUBLE_START_MS = 8000
--- a/tests/features/steps/store_restored.py
+++ b/tests/features/steps/store_restored.py
@@ -19,8 +19,8 @@
 from ragworthollow.replica import Replica
 from ragworthollow.utils import override_clocks
 from tests.fixtures.news_model import NewsModel
-from tests.fixtures.news_variants import VARIANTS
-from tests.fixtures.store_followers import make_store_poller
+from tests.fixtures.replica_variants import VARIANTS
+from tests.fixtures.store_pollers import make_store_poller
 
 _CONFIGURATION_KEY = 'op/config'
 _DRAIN_KEY = 'op/evacuate/one'
--- a/tests/features/steps/store_view.py
+++ b/tests/features/steps/store_view.py
@@ -12,7 +12,7 @@
 from measure.replica_fleet.store_session import StoreSession
 from ragworthollow.platform import StoreClient
 from ragworthollow.utils import override_clocks
-from tests.fixtures.store_followers import make_store_poller
+from tests.fixtures.store_pollers import make_store_poller
 
 _KEYS = st.sampled_from(('op/config', 'servers/a', 'servers/b'))
 _MOVES = st.lists(
--- a/tests/features/steps/warm_up.py
+++ b/tests/features/steps/warm_up.py
@@ -18,7 +18,7 @@
 from ragworthollow.conf import global_settings
 from ragworthollow.throttling import RateLimits, derive_limits, derive_quota
 from ragworthollow.utils import get_monotonic_ms
-from tests.fixtures.staged import send_stage_requests
+from tests.fixtures.stage_requests import send_stage_requests
 from tests.fixtures.throttles import make_throttle
 
 _LIMITS = RateLimits(requests_per_s=8, burst=17)
