--- a/measure/fleet_model/__main__.py
+++ b/measure/fleet_model/__main__.py
@@ -1,4 +1,4 @@
-"""Run scenarios and sweeps of the fleet's model from the command line."""
+"""Run scenarios and parameter sweeps of the fleet simulation."""
 
 from pathlib import Path
 from typing import Annotated
@@ -9,11 +9,11 @@
 from measure.fleet_model.experiment import (
     Setting,
     Trial,
-    bound_all,
+    compute_trial_bounds,
     get_mean,
-    play_all,
     play_records,
     read_load,
+    simulate_all,
 )
 from measure.fleet_model.hosting import Hosting
 from measure.fleet_model.patterns import make_patterns
@@ -33,7 +33,7 @@
 
 
 class SavedTable(Message):
-    """Hold what a command printed."""
+    """Hold the table that a command printed."""
 
     load: str
     rows: list[TableRow]
@@ -41,12 +41,12 @@
 
 @application.command
 def days(load: Load = 'kingston', seeds: Seeds = _SEEDS, jobs: Jobs = _JOBS):
-    """Play every pattern, beside the bound of a scheduler that knows all."""
+    """Simulate every pattern and compare it with the clairvoyant bound."""
     rows = []
     for pattern in make_patterns(read_load(load)):
         trials = _make_trials(load, pattern, seeds)
-        reports = play_all(trials, jobs)
-        bounds = bound_all(trials, jobs)
+        reports = simulate_all(trials, jobs)
+        bounds = compute_trial_bounds(trials, jobs)
         rows.append(
             TableRow(
                 name=pattern,
@@ -60,13 +60,13 @@
 
 @application.command
 def hosting(load: Load = 'kingston', seeds: Seeds = _SEEDS, jobs: Jobs = _JOBS):
-    """Weigh who fills the calls of a pool, also when a host fails."""
+    """Compare hosting strategies of schedulers, also when a host fails."""
     rows = []
     patterns = ('calm', 'bursts', 'host-kill', 'host-freeze', 'host-cut')
     for pattern in patterns:
-        for way in Hosting:
-            trials = _make_trials(load, pattern, seeds, way)
-            reports = play_all(trials, jobs)
+        for strategy in Hosting:
+            trials = _make_trials(load, pattern, seeds, strategy)
+            reports = simulate_all(trials, jobs)
             rows.append(
                 TableRow(
                     name=f'{pattern}, {way}',
@@ -86,14 +86,14 @@
     jobs: Jobs = _JOBS,
 ):
     """
-    Play every pattern with several values of a default.
+    Simulate every pattern with several values of a default setting.
 
     Parameters
     ----------
     name
-        Name in `ragworthollow.conf.global_settings`.
+        Name of the setting in `ragworthollow.conf.global_settings`.
     values
-        What it is to be in turn.
+        Values of the setting, each simulated in turn.
     """
     rows = []
     for number in values:
@@ -108,7 +108,7 @@
                 settings=(setting,),
             )
         ]
-        reports = play_all(trials, jobs)
+        reports = simulate_all(trials, jobs)
         rows.append(
             TableRow(
                 name=f'{name}={number:g}',
@@ -126,7 +126,7 @@
     seed: int = 1,
     out: Path = _OUT,
 ):
-    """Draw attainment, waiting and pool use of one day over time."""
+    """Plot attainment, latency and pool utilization of one day."""
     day = play_records(Trial(load=load, pattern=pattern, seed=seed))
     path = out / f'{load}-{pattern}-{seed}.png'
     out.mkdir(exist_ok=True)
@@ -137,12 +137,12 @@
 @application.command
 def recorded(log: Path, load: Load = 'kingston'):
     """
-    Bound what could have been attained on a day that gateways logged.
+    Compute an upper bound of attainment for a day logged by gateways.
 
     Parameters
     ----------
     log
-        Lines of all gateways together.
+        File with the concatenated log lines of all gateways.
     """
     print(f'{bound_recorded(read_load(load), log):.3f}')
 
@@ -151,7 +151,7 @@
     load: str,
     pattern: str,
     seeds: int,
-    way: Hosting = Hosting.pool,
+    strategy: Hosting = Hosting.pool,
     settings: tuple[Setting, ...] = (),
 ) -> list[Trial]:
     return [
@@ -159,7 +159,7 @@
             load=load,
             pattern=pattern,
             seed=seed,
-            hosting=way,
+            hosting=strategy,
             settings=settings,
         )
         for seed in range(1, seeds + 1)
--- a/measure/fleet_model/arrivals.py
+++ b/measure/fleet_model/arrivals.py
@@ -1,4 +1,4 @@
-"""Draw the requests of a day."""
+"""Generate the requests of a simulated day."""
 
 import math
 import random
@@ -11,31 +11,31 @@
     StageSheet,
 )
 
-# Spread of prompt lengths and piece counts (sigma of their logarithm).
-_SPREAD = 0.6
+# Standard deviation of the logarithm of prompt lengths and piece counts.
+_LOG_SIGMA = 0.6
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class Arrival:
     """
-    Describe one request of the day.
+    Describe one request of a day.
 
     Attributes
     ----------
     number : int
-        Position in the day.
+        Position in the order of arrival.
     kind : str
         Kind of request.
     at_ms : float
-        When its caller sends it.
+        Time at which its caller sends it first, from the start of the day.
     piece_counts : tuple of int
-        Pieces by stage; 0 leaves a stage out.
+        Number of pieces by stage; a stage with 0 pieces is skipped.
     subject : int
-        Which shared prompt it has.
+        Index of its shared prompt.
     own_tokens : int
-        Prompt tokens of its own.
+        Prompt tokens that it shares with no other request.
     request_id : str
-        Identifier in a log; empty for a drawn one.
+        Identifier in a log; empty for a generated request.
     """
 
     number: int
@@ -50,28 +50,30 @@
 def draw_arrivals(
     sheet: LoadSheet,
     pattern: Pattern,
-    span_ms: float,
+    duration_ms: float,
     seed: int,
 ) -> list[Arrival]:
     """
-    Draw a day; the same seed gives the same requests to every variant.
+    Generate the requests of a day.
+
+    The same seed gives the same requests to every variant.
 
     Parameters
     ----------
     sheet : LoadSheet
-        Rates and shapes.
+        Request rates and size distributions.
     pattern : Pattern
-        Bursts.
-    span_ms : float
-        Length of the day.
+        Bursts of the day.
+    duration_ms : float
+        Duration of the day.
     seed : int
-        Of the random numbers.
+        Seed of the random number generator.
     """
     rng = random.Random(f'{pattern.name}/{seed}')  # noqa: S311
     drawn = [
         (at_ms, name)
         for name, kind in sheet.kinds.items()
-        for at_ms in _draw_times(name, kind, pattern, span_ms, rng)
+        for at_ms in _draw_times(name, kind, pattern, duration_ms, rng)
     ]
     return [
         Arrival(
@@ -92,30 +94,34 @@
     name: str,
     kind: KindSheet,
     pattern: Pattern,
-    span_ms: float,
+    duration_ms: float,
     rng: random.Random,
 ) -> list[float]:
-    """Thin a Poisson stream of the highest rate down to that of its time."""
-    most = kind.rate * max(
-        (one.factor for one in pattern.bursts),
+    """Generate arrival times by thinning a Poisson process at peak rate."""
+    max_rate = kind.rate * max(
+        (burst.factor for burst in pattern.bursts),
         default=1,
     )
     times = []
     at_ms = 0.0
     while True:
-        at_ms += rng.expovariate(most) * 1000
-        if at_ms >= span_ms:
+        at_ms += rng.expovariate(max_rate) * 1000
+        if at_ms >= duration_ms:
             return times
-        if rng.random() < kind.rate * _get_factor(name, pattern, at_ms) / most:
+        if (
+            rng.random()
+            < kind.rate * _get_factor(name, pattern, at_ms) / max_rate
+        ):
             times.append(at_ms)
 
 
 def _get_factor(name: str, pattern: Pattern, at_ms: float) -> float:
     return max(
         (
-            one.factor
-            for one in pattern.bursts
-            if one.kind in {name, ''} and one.start_ms <= at_ms < one.end_ms
+            burst.factor
+            for burst in pattern.bursts
+            if burst.kind in {name, ''}
+            and burst.start_ms <= at_ms < burst.end_ms
         ),
         default=1,
     )
@@ -126,14 +132,14 @@
         return 0
     if stage.most == stage.pieces:
         return stage.most
-    drawn = _draw_around(stage.pieces, rng)
+    drawn = _draw_log_normal(stage.pieces, rng)
     return max(1, min(stage.most, round(drawn)))
 
 
 def _draw_tokens(kind: KindSheet, rng: random.Random) -> int:
-    return max(1, round(_draw_around(kind.own_tokens, rng)))
+    return max(1, round(_draw_log_normal(kind.own_tokens, rng)))
 
 
-def _draw_around(mean: float, rng: random.Random) -> float:
-    """Draw from a log-normal distribution with this mean."""
-    return rng.lognormvariate(math.log(mean) - _SPREAD**2 / 2, _SPREAD)
+def _draw_log_normal(mean: float, rng: random.Random) -> float:
+    """Draw from a log-normal distribution with the given mean."""
+    return rng.lognormvariate(math.log(mean) - _LOG_SIGMA**2 / 2, _LOG_SIGMA)
--- a/measure/fleet_model/bound.py
+++ b/measure/fleet_model/bound.py
@@ -1,4 +1,4 @@
-"""Bound what a scheduler that knows everything could reach."""
+"""Compute the upper bound of a clairvoyant scheduler's attainment."""
 
 from bisect import insort
 from collections import deque
@@ -13,46 +13,47 @@
     Pattern,
 )
 
-# Steps of the search for the part of a request that still fits.
-_HALVINGS = 5
-# Longer than any day.
-_FOREVER_MS = 1e9
-# Milliseconds of capacity below which two moments are the same.
-_ROUNDING = 1e-6
+# Bisection steps when searching for the feasible fraction of a job.
+_BISECTION_STEPS = 5
+# Later than the end of any day.
+_UNBOUNDED_MS = 1e9
+# Milliseconds of capacity within which two times are considered equal.
+_TOLERANCE_MS = 1e-6
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class _Job:
     """
-    Hold the work that a request brings to a pool.
+    Hold the work that a request causes in a pool.
 
     Attributes
     ----------
-    from_ms, to_ms : float
-        When it can begin at the earliest, and has to end at the latest.
+    earliest_ms, deadline_ms : float
+        Earliest start and latest end.
     work_ms : float
-        Time of one instance, in calls that are always full.
+        Busy time of one instance, assuming that all calls are full.
     gain : float
-        Worth of an answer in time beyond that of a late one.
+        Worth of a response in time minus the worth of a late one.
     """
 
-    from_ms: float
-    to_ms: float
+    earliest_ms: float
+    deadline_ms: float
     work_ms: float
     gain: float
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
-class Shift:
+class CapacityInterval:
     """
-    Say when an instance works, and at which share of its speed.
+    Describe an interval in which an instance works, and its speed.
 
     Attributes
     ----------
     start_ms, end_ms : float
-        From when to when.
+        Start and end of the interval.
     speed : float
-        1 for its regular speed, negative to take some of it away.
+        1 for the regular speed; negative to subtract from the capacity of
+        an overlapping interval.
     """
 
     start_ms: float
@@ -60,78 +61,82 @@
     speed: float = 1
 
 
-def make_shifts(
+def make_capacity_intervals(
     sheet: LoadSheet,
     pattern: Pattern,
-) -> dict[str, list[Shift]]:
-    """Return when the instances of each pool work, by a pattern."""
-    shifts = {
+) -> dict[str, list[CapacityInterval]]:
+    """Return the capacity intervals of each pool under a pattern."""
+    intervals = {
         name: [
-            Shift(start_ms=0, end_ms=_FOREVER_MS) for _ in range(pool.instances)
+            CapacityInterval(start_ms=0, end_ms=_UNBOUNDED_MS)
+            for _ in range(pool.instances)
         ]
         for name, pool in sheet.pools.items()
     }
     for lost in pattern.lost:
-        shifts[lost.pool].append(
-            Shift(start_ms=lost.start_ms, end_ms=lost.end_ms, speed=-1),
+        intervals[lost.pool].append(
+            CapacityInterval(
+                start_ms=lost.start_ms, end_ms=lost.end_ms, speed=-1
+            ),
         )
     for slow in pattern.slow:
-        shifts[slow.pool].append(
-            Shift(
+        intervals[slow.pool].append(
+            CapacityInterval(
                 start_ms=slow.start_ms,
                 end_ms=slow.end_ms,
                 speed=1 / slow.factor - 1,
             ),
         )
-    return shifts
+    return intervals
 
 
-def find_bound(
+def compute_bound(
     sheet: LoadSheet,
-    shifts: Mapping[str, Sequence[Shift]],
+    intervals: Mapping[str, Sequence[CapacityInterval]],
     arrivals: Sequence[Arrival],
 ) -> float:
     """
-    Return a share of all worth that no scheduler can exceed.
+    Return a share of the total worth that no scheduler can exceed.
 
-    Each pool is looked at alone, with calls that are always full, work that
-    can be split at will, no network, space without limit and late answers
-    that cost nothing.  What is possible then is a flow problem on one
-    machine; taking requests by their gain for each millisecond of work,
-    whole or in part, solves it.  The least of the pools' figures bounds the
-    whole.
+    Each pool is considered alone, with calls that are always full, arbitrarily
+    divisible work, no network latency, unlimited space for results and late
+    responses that take no work.  This relaxation is a flow problem on a
+    single machine, which a greedy algorithm solves: it admits requests by
+    descending gain per millisecond of work, fully or in part.  The lowest
+    figure of all pools is the bound.
 
     Parameters
     ----------
     sheet : LoadSheet
         The deployment.
-    shifts : mapping of str to sequence of Shift
-        When the instances of each pool work.
+    intervals : mapping of str to sequence of CapacityInterval
+        Capacity intervals of the instances by pool.
     arrivals : sequence of Arrival
         The requests of the day.
     """
-    owed = sum(sheet.kinds[one.kind].worth for one in arrivals)
-    lost = max(
-        _find_loss(
+    total_worth = sum(sheet.kinds[arrival.kind].worth for arrival in arrivals)
+    lost_gain = max(
+        _compute_lost_gain(
             _make_jobs(sheet, pool, arrivals),
-            _Capacity(shifts[pool]),
+            _Capacity(intervals[pool]),
         )
         for pool in sheet.pools
     )
-    return 1 - lost / owed
+    return 1 - lost_gain / total_worth
 
 
 class _Capacity:
-    """Know how much a pool can work until a moment."""
+    """Compute the cumulative capacity of a pool."""
 
-    def __init__(self, shifts: Sequence[Shift]) -> None:
-        self._shifts = shifts
+    def __init__(self, intervals: Sequence[CapacityInterval]) -> None:
+        self._intervals = intervals
 
     def get_ms(self, until_ms: float) -> float:
-        """Return the work that fits before a moment."""
+        """Return the capacity, in ms of work, up to a point in time."""
         return sum(
-            one.speed * max(0, min(until_ms, one.end_ms) - max(0, one.start_ms))
-            for one in self._shifts
+            interval.speed
+            * max(0, min(until_ms, interval.end_ms) - max(0, interval.start_ms))
+            for interval in self._intervals
         )
 
 
@@ -141,15 +146,15 @@
     arrivals: Sequence[Arrival],
 ) -> list[_Job]:
     jobs = []
-    for one in arrivals:
-        kind = sheet.kinds[one.kind]
+    for arrival in arrivals:
+        kind = sheet.kinds[arrival.kind]
         positions = [
             position
             for position, stage in enumerate(kind.stages)
-            if stage.pool == pool and one.piece_counts[position]
+            if stage.pool == pool and arrival.piece_counts[position]
         ]
         if positions:
-            jobs.append(_make_job(sheet, kind, one, positions))
+            jobs.append(_make_job(sheet, kind, arrival, positions))
     return jobs
 
 
@@ -166,21 +171,27 @@
         * (call_share_ms + pool.piece_ms * kind.stages[position].work_share)
         for position in positions
     )
-    earlier_ms = min(_get_before_ms(sheet, kind, one) for one in positions)
-    later_ms = min(_get_behind_ms(sheet, kind, one) for one in positions)
+    preceding_ms = min(
+        _get_min_preceding_ms(sheet, kind, position) for position in positions
+    )
+    following_ms = min(
+        _get_min_following_ms(sheet, kind, position) for position in positions
+    )
     return _Job(
-        from_ms=arrival.at_ms + earlier_ms,
-        to_ms=arrival.at_ms + kind.objective_ms - later_ms,
+        earliest_ms=arrival.at_ms + preceding_ms,
+        deadline_ms=arrival.at_ms + kind.objective_ms - following_ms,
         work_ms=work_ms,
         gain=kind.worth - kind.late_worth,
     )
 
 
-def _get_before_ms(sheet: LoadSheet, kind: KindSheet, position: int) -> float:
-    """Return the least time of the stages before one."""
+def _get_min_preceding_ms(
+    sheet: LoadSheet, kind: KindSheet, position: int
+) -> float:
+    """Return the minimum time of the stages before a stage."""
     return max(
         (
-            _get_before_ms(sheet, kind, before)
+            _get_min_preceding_ms(sheet, kind, before)
             + sheet.pools[kind.stages[before].pool].call_ms
             for before in kind.stages[position].after
         ),
@@ -188,84 +199,97 @@
     )
 
 
-def _get_behind_ms(sheet: LoadSheet, kind: KindSheet, position: int) -> float:
-    """Return the least time of what follows a stage."""
+def _get_min_following_ms(
+    sheet: LoadSheet, kind: KindSheet, position: int
+) -> float:
+    """Return the minimum time from the end of a stage to the first event."""
     return max(
         (
-            sheet.pools[reader.pool].call_ms
-            + _get_behind_ms(sheet, kind, number)
-            for number, reader in enumerate(kind.stages)
-            if position in reader.after
+            sheet.pools[consumer.pool].call_ms
+            + _get_min_following_ms(sheet, kind, number)
+            for number, consumer in enumerate(kind.stages)
+            if position in consumer.after
         ),
         default=sheet.engine.first_ms,
     )
 
 
-def _find_loss(jobs: list[_Job], capacity: _Capacity) -> float:
-    """Return the gain that no order of work can save."""
-    kept: list[_Job] = []
-    lost: float = 0
-    for job in sorted(jobs, key=lambda one: -one.gain / one.work_ms):
+def _compute_lost_gain(jobs: list[_Job], capacity: _Capacity) -> float:
+    """Return the gain that is lost in any order of execution."""
+    accepted: list[_Job] = []
+    lost_gain: float = 0
+    for job in sorted(
+        jobs, key=lambda candidate: -candidate.gain / candidate.work_ms
+    ):
         scaled = _Job(
-            from_ms=capacity.get_ms(job.from_ms),
-            to_ms=capacity.get_ms(job.to_ms),
+            earliest_ms=capacity.get_ms(job.earliest_ms),
+            deadline_ms=capacity.get_ms(job.deadline_ms),
             work_ms=job.work_ms,
             gain=job.gain,
         )
-        part = _find_part(kept, scaled)
-        lost += job.gain * (1 - part)
-        if part:
-            insort(kept, _shrink(scaled, part), key=lambda one: one.from_ms)
-    return lost
-
-
-def _find_part(kept: list[_Job], job: _Job) -> float:
-    """Return the largest part of a job that fits beside the others."""
-    if _fits(kept, job):
+        fraction = _find_feasible_fraction(accepted, scaled)
+        lost_gain += job.gain * (1 - fraction)
+        if fraction:
+            insort(
+                accepted,
+                _scale_job(scaled, fraction),
+                key=lambda candidate: candidate.earliest_ms,
+            )
+    return lost_gain
+
+
+def _find_feasible_fraction(accepted: list[_Job], job: _Job) -> float:
+    """Return the largest fraction of a job that fits with the accepted."""
+    if _fits(accepted, job):
         return 1
     low: float = 0
     high: float = 1
-    for _ in range(_HALVINGS):
+    for _ in range(_BISECTION_STEPS):
         middle = (low + high) / 2
-        if _fits(kept, _shrink(job, middle)):
+        if _fits(accepted, _scale_job(job, middle)):
             low = middle
         else:
             high = middle
-    # The true part lies between the two; a bound takes the larger one.
+    # The exact fraction lies between both; an upper bound needs the larger.
     return high
 
 
-def _shrink(job: _Job, part: float) -> _Job:
+def _scale_job(job: _Job, fraction: float) -> _Job:
     return _Job(
-        from_ms=job.from_ms,
-        to_ms=job.to_ms,
-        work_ms=job.work_ms * part,
+        earliest_ms=job.earliest_ms,
+        deadline_ms=job.deadline_ms,
+        work_ms=job.work_ms * fraction,
         gain=job.gain,
     )
 
 
-def _fits(kept: list[_Job], job: _Job) -> bool:
+def _fits(accepted: list[_Job], job: _Job) -> bool:
     """
-    Tell whether all jobs can be done in time.
+    Return whether all jobs can meet their deadlines.
 
-    Times are in units of capacity, so that one machine of speed 1 does the
-    work.  Where any order of preemptible work is in time, the order by
-    deadline is.
+    Times are in units of capacity, which reduces the pool to one machine of
+    speed 1.  If any preemptive schedule meets all deadlines, earliest
+    deadline first does.
     """
-    coming = deque(merge(kept, [job], key=lambda one: one.from_ms))
-    waiting: list[tuple[float, float]] = []
+    pending = deque(
+        merge(accepted, [job], key=lambda candidate: candidate.earliest_ms)
+    )
+    ready: list[tuple[float, float]] = []
     now: float = 0
-    while coming or waiting:
-        if not waiting:
-            now = max(now, coming[0].from_ms)
-        while coming and coming[0].from_ms <= now:
-            begun = coming.popleft()
-            heappush(waiting, (begun.to_ms, begun.work_ms))
-        due, left = heappop(waiting)
-        until = min(now + left, coming[0].from_ms if coming else now + left)
-        if now + left > until:
-            heappush(waiting, (due, left - (until - now)))
-        elif until > due + _ROUNDING:
+    while pending or ready:
+        if not ready:
+            now = max(now, pending[0].earliest_ms)
+        while pending and pending[0].earliest_ms <= now:
+            started = pending.popleft()
+            heappush(ready, (started.deadline_ms, started.work_ms))
+        deadline, remaining = heappop(ready)
+        until = min(
+            now + remaining,
+            pending[0].earliest_ms if pending else now + remaining,
+        )
+        if now + remaining > until:
+            heappush(ready, (deadline, remaining - (until - now)))
+        elif until > deadline + _TOLERANCE_MS:
             return False
         now = until
     return True
--- a/measure/fleet_model/day.py
+++ b/measure/fleet_model/day.py
@@ -1,4 +1,4 @@
-"""Play one day."""
+"""Simulate one day of a deployment."""
 
 import asyncio
 import random
@@ -7,7 +7,7 @@
 from measure.fleet_model.callers import Callers
 from measure.fleet_model.engine_instance import EngineInstance
 from measure.fleet_model.gateway import ENGINES, ModelGateway
-from measure.fleet_model.hosting import Hosting, connect
+from measure.fleet_model.hosting import Hosting, set_gateway_members
 from measure.fleet_model.load_sheet import LoadSheet, Pattern
 from measure.fleet_model.network import Network
 from measure.fleet_model.outcome import (
@@ -15,39 +15,39 @@
     PoolReport,
     RequestRecord,
     sum_attained,
-    sum_kinds,
+    summarize_kinds,
 )
-from measure.fleet_model.patterns import SPAN_MS
+from measure.fleet_model.patterns import DAY_DURATION_MS
 from measure.fleet_model.stage_instance import StageInstance
-from measure.fleet_model.tables import make_table
+from measure.fleet_model.tables import make_route_table
 from measure.fleet_model.virtual_time import VirtualLoop
 from ragworthollow.conf import GatewaySettings
 from ragworthollow.upstreams import UpstreamInstance
 from ragworthollow.utils import override_clocks
 
 _MILLISECONDS = 1000
-# The followers of a gateway notice a change of instances so late.
-_LIST_LAG_MS = 600
-# Further attempts beside a share of the requests, as the users grant.
+# Delay until the subscribers of a gateway see a change of the instance list.
+_INSTANCE_LIST_LAG_MS = 600
+# Retries allowed in addition to the retry ratio, as users configure it.
 _RETRY_SLACK = 50
 
 
 class Day:
     """
-    Play one day of a deployment.
+    Simulate one day of a deployment.
 
     Parameters
     ----------
     sheet : LoadSheet
-        The deployment.
+        Deployment and its load.
     pattern : Pattern
-        What happens.
+        Bursts and faults of the day.
     hosting : Hosting
-        Who fills the calls of a pool.
+        Strategy that assigns the schedulers of pools to gateways.
     seed : int
-        Of all random numbers.
-    span_ms : float
-        How long requests come.
+        Seed of all random number generators.
+    duration_ms : float
+        Duration of the day; no request arrives later.
     """
 
     def __init__(
@@ -57,55 +57,57 @@
         pattern: Pattern,
         hosting: Hosting = Hosting.pool,
         seed: int = 1,
-        span_ms: float = SPAN_MS,
+        duration_ms: float = DAY_DURATION_MS,
     ) -> None:
         self.sheet = sheet
         self.pattern = pattern
         self.records: list[RequestRecord] = []
         self._hosting = hosting
         self._seed = seed
-        self._span_ms = span_ms
+        self._duration_ms = duration_ms
         self._network = Network(sheet=sheet)
-        self._table = make_table(sheet)
+        self._route_table = make_route_table(sheet)
 
-    def play(self) -> DayReport:
-        """Play the day on a loop of its own."""
+    def simulate(self) -> DayReport:
+        """Simulate the day on its own event loop and return its report."""
         loop = VirtualLoop()
         try:
             with override_clocks(loop.get_ms):
-                loop.run_until_complete(self._play())
+                loop.run_until_complete(self._simulate())
         finally:
             loop.close()
-        return self._report()
+        return self._make_report()
 
     def get_busy_ms(self, pool: str, step_ms: float) -> list[float]:
-        """Return how long the instances of a pool worked, by step of time."""
-        steps = [0.0 for _ in range(int(self._span_ms // step_ms))]
+        """Return the busy time of a pool, summed over instances, by time step."""
+        steps = [0.0 for _ in range(int(self._duration_ms // step_ms))]
         for name, instance in self._network.stages.items():
             if name.rpartition('-')[0] != pool:
                 continue
-            for began_ms, took_ms in instance.calls:
-                step = int(began_ms // step_ms)
+            for started_ms, call_ms in instance.calls:
+                step = int(started_ms // step_ms)
                 if step < len(steps):
-                    steps[step] += took_ms
+                    steps[step] += call_ms
         return steps
 
-    async def _play(self) -> None:
+    async def _simulate(self) -> None:
         self._add_instances()
         self._add_gateways()
         self._set_faults()
         arrivals = draw_arrivals(
             self.sheet,
             self.pattern,
-            self._span_ms,
+            self._duration_ms,
             self._seed,
         )
-        troubles = asyncio.ensure_future(self._make_troubles())
+        pattern_task = asyncio.ensure_future(self._apply_pattern())
         callers = Callers(
-            network=self._network, table=self._table, seed=self._seed
+            network=self._network,
+            route_table=self._route_table,
+            seed=self._seed,
         )
         self.records = await callers.send_all(arrivals)
-        troubles.cancel()
+        pattern_task.cancel()
         self._network.close()
         for gateway in self._network.gateways.values():
             await gateway.context.close()
@@ -135,7 +137,7 @@
         for number in range(self.sheet.gateways):
             gateway = self._make_gateway(number)
             self._network.gateways[gateway.name] = gateway
-        connect(self._hosting, self._network)
+        set_gateway_members(self._hosting, self._network)
         self._list_instances()
         names = self._network.gateways.keys()
         for gateway in self._network.gateways.values():
@@ -155,7 +157,7 @@
                 store_url='http://store',
                 retry_slack=_RETRY_SLACK,
             ),
-            table=self._table,
+            route_table=self._route_table,
             network=self._network,
         )
         rng = random.Random(f'{name}/{self._seed}')  # noqa: S311
@@ -170,31 +172,32 @@
             for name in self._network.gateways:
                 self._network.faults[name] = self.pattern.all_killed
 
-    async def _restart_all(self) -> None:
-        """Replace every gateway by one that knows nothing."""
+    async def _restart_gateways(self) -> None:
+        """Replace every gateway by a new gateway without state."""
         for gateway in self._network.gateways.values():
             await gateway.context.close()
         self._add_gateways()
 
     def _find_busiest_host(self) -> str:
-        """Return who hosts the gate of the pool that most kinds need first."""
-        first = self._network.gateways['gateway-0']
-        host = first.members.find_host(next(iter(self.sheet.pools)))
-        return first.name if host is None else host.instance
+        """Return the gateway that hosts the scheduler of the first pool."""
+        first_gateway = self._network.gateways['gateway-0']
+        host = first_gateway.members.find_host(next(iter(self.sheet.pools)))
+        return first_gateway.name if host is None else host.instance
 
     def _list_instances(self) -> None:
         listed = [
-            self._describe(name, name.rpartition('-')[0])
+            self._make_upstream_instance(name, name.rpartition('-')[0])
             for name, instance in self._network.stages.items()
             if not instance.is_lost
         ]
         listed += [
-            self._describe(name, ENGINES) for name in self._network.engines
+            self._make_upstream_instance(name, ENGINES)
+            for name in self._network.engines
         ]
         for gateway in self._network.gateways.values():
             gateway.context.directory.replace(listed, 0)
 
-    def _describe(self, name: str, pool: str) -> UpstreamInstance:
+    def _make_upstream_instance(self, name: str, pool: str) -> UpstreamInstance:
         number = int(name.rpartition('-')[2])
         is_engine = pool == ENGINES
         return UpstreamInstance(
@@ -209,52 +212,57 @@
         domains = self.sheet.failure_domains
         return domains[number % len(domains)]
 
-    async def _make_troubles(self) -> None:
+    async def _apply_pattern(self) -> None:
         changes = []
         for lost in self.pattern.lost:
             instance = self._network.stages[f'{lost.pool}-{lost.number}']
-            changes.append((lost.start_ms, instance.lose))
-            changes.append((lost.end_ms, instance.return_))
+            changes.append((lost.start_ms, instance.mark_lost))
+            changes.append((lost.end_ms, instance.restore))
         for slow in self.pattern.slow:
             instance = self._network.stages[f'{slow.pool}-{slow.number}']
-            changes.append((slow.start_ms, _make_pace(instance, slow.factor)))
-            changes.append((slow.end_ms, _make_pace(instance, 1)))
+            changes.append(
+                (slow.start_ms, _make_slowdown(instance, slow.factor))
+            )
+            changes.append((slow.end_ms, _make_slowdown(instance, 1)))
         killed = self.pattern.all_killed
         if killed is not None:
-            changes.append((killed.end_ms, self._restart_all))
+            changes.append((killed.end_ms, self._restart_gateways))
         loop = asyncio.get_running_loop()
-        for at_ms, change in sorted(changes, key=lambda one: one[0]):
+        for at_ms, change in sorted(changes, key=lambda entry: entry[0]):
             await asyncio.sleep(at_ms / _MILLISECONDS - loop.time())
-            restarting = change()
-            if restarting is not None:
-                await restarting
-            await asyncio.sleep(_LIST_LAG_MS / _MILLISECONDS)
+            restart = change()
+            if restart is not None:
+                await restart
+            await asyncio.sleep(_INSTANCE_LIST_LAG_MS / _MILLISECONDS)
             self._list_instances()
 
-    def _report(self) -> DayReport:
+    def _make_report(self) -> DayReport:
         return DayReport(
             attained=sum_attained(self.sheet, self.records),
-            kinds=sum_kinds(self.sheet, self.records),
-            pools={pool: self._sum_pool(pool) for pool in self.sheet.pools},
+            kinds=summarize_kinds(self.sheet, self.records),
+            pools={
+                pool: self._summarize_pool(pool) for pool in self.sheet.pools
+            },
             tokens_read=sum(
-                one.tokens_read_again for one in self._network.engines.values()
+                engine.uncached_shared_tokens
+                for engine in self._network.engines.values()
             ),
         )
 
-    def _sum_pool(self, pool: str) -> PoolReport:
+    def _summarize_pool(self, pool: str) -> PoolReport:
         instances = [
-            one
-            for name, one in self._network.stages.items()
+            instance
+            for name, instance in self._network.stages.items()
             if name.rpartition('-')[0] == pool
         ]
-        time_ms = self._span_ms * len(instances)
+        time_ms = self._duration_ms * len(instances)
         return PoolReport(
-            busy=sum(one.busy_ms for one in instances) / time_ms,
-            pieces=sum(one.pieces_made for one in instances),
+            busy=sum(instance.busy_ms for instance in instances) / time_ms,
+            pieces=sum(instance.pieces_completed for instance in instances),
         )
 
 
-def _make_pace(instance: StageInstance, factor: float):
+def _make_slowdown(instance: StageInstance, factor: float):
     def change() -> None:
         instance.slow_factor = factor
 
--- a/measure/fleet_model/engine_instance.py
+++ b/measure/fleet_model/engine_instance.py
@@ -1,4 +1,4 @@
-"""Model a model engine."""
+"""Simulate a model engine."""
 
 import asyncio
 from collections import OrderedDict
@@ -10,50 +10,50 @@
 
 class EngineInstance:
     """
-    Read prompts one after the other and generate for all at once.
+    Read prompts sequentially and generate for all requests concurrently.
 
     Parameters
     ----------
     sheet : EngineSheet
-        How fast it is.
+        Speed and cache size of the engine.
     """
 
     def __init__(self, *, sheet: EngineSheet) -> None:
-        self.tokens_read_again = 0
+        self.uncached_shared_tokens = 0
         self._sheet = sheet
-        self._reading = asyncio.Lock()
-        self._running = 0
+        self._prompt_lock = asyncio.Lock()
+        self._running_requests = 0
         self._cache: OrderedDict[str, int] = OrderedDict()
 
     async def read_prompt(self, part: str, shared: int, own: int) -> None:
         """
-        Return at the first event.
+        Read a prompt and return at the first event.
 
         Parameters
         ----------
         part : str
-            Shared part of the prompt.
+            Identifier of the shared part of the prompt.
         shared, own : int
-            Tokens of it, and behind it.
+            Tokens of the shared part and of the rest of the prompt.
         """
         tokens = own + self._read_shared(part, shared)
-        async with self._reading:
+        async with self._prompt_lock:
             read_ms = tokens / self._sheet.prompt_tokens_per_ms
-            steps_ms = self._running * self._sheet.step_ms_per_request
+            steps_ms = self._running_requests * self._sheet.step_ms_per_request
             await asyncio.sleep((read_ms + steps_ms) / _MILLISECONDS)
         await asyncio.sleep(self._sheet.first_ms / _MILLISECONDS)
 
     async def generate(self, tokens: int) -> None:
-        """Return at the last event."""
-        self._running += 1
+        """Generate output tokens and return at the last event."""
+        self._running_requests += 1
         try:
             step_ms = (
                 self._sheet.step_ms
-                + self._sheet.step_ms_per_request * self._running
+                + self._sheet.step_ms_per_request * self._running_requests
             )
             await asyncio.sleep(tokens * step_ms / _MILLISECONDS)
         finally:
-            self._running -= 1
+            self._running_requests -= 1
 
     def _read_shared(self, part: str, shared: int) -> int:
         """Return the shared tokens that are not cached, and cache them."""
@@ -61,7 +61,7 @@
             self._cache.move_to_end(part)
             return 0
         self._cache[part] = shared
-        self.tokens_read_again += shared
+        self.uncached_shared_tokens += shared
         while sum(self._cache.values()) > self._sheet.cache_tokens:
             self._cache.popitem(last=False)
         return shared
--- a/measure/fleet_model/experiment.py
+++ b/measure/fleet_model/experiment.py
@@ -1,4 +1,4 @@
-"""Play many days side by side."""
+"""Simulate many days in parallel."""
 
 import statistics
 from collections.abc import Iterator, Sequence
@@ -12,12 +12,12 @@
 from absl import logging
 
 from measure.fleet_model.arrivals import draw_arrivals
-from measure.fleet_model.bound import find_bound, make_shifts
+from measure.fleet_model.bound import compute_bound, make_capacity_intervals
 from measure.fleet_model.day import Day
 from measure.fleet_model.hosting import Hosting
 from measure.fleet_model.load_sheet import LoadSheet
 from measure.fleet_model.outcome import DayReport
-from measure.fleet_model.patterns import SPAN_MS, make_patterns
+from measure.fleet_model.patterns import DAY_DURATION_MS, make_patterns
 from ragworthollow.conf import global_settings
 
 _LOADS = Path(__file__).parent / 'loads'
@@ -25,7 +25,7 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class Setting:
-    """Name a default of `global_settings` and what it is to be."""
+    """Override the value of a default in `global_settings`."""
 
     name: str
     value: float
@@ -34,7 +34,7 @@
 @dataclass(frozen=True, kw_only=True, slots=True)
 class Trial:
     """
-    Describe one day to be played.
+    Describe one day to simulate.
 
     Attributes
     ----------
@@ -43,11 +43,11 @@
     pattern : str
         Name of a pattern.
     seed : int
-        Of all random numbers.
+        Seed of all random number generators.
     hosting : Hosting
-        Who fills the calls of a pool.
+        Strategy that assigns the schedulers of pools to gateways.
     settings : tuple of Setting
-        Defaults that differ.
+        Overridden defaults.
     """
 
     load: str
@@ -59,80 +59,85 @@
 
 def read_load(name: str) -> LoadSheet:
     """
-    Read a load sheet of this package.
+    Read a load sheet that is part of this package.
 
     Raises
     ------
     msgspec.ValidationError
-        The file says something else than a sheet.
+        The file does not match the schema of a load sheet.
     """
     text = (_LOADS / f'{name}.yaml').read_text()
     return msgspec.convert(yaml.safe_load(text), LoadSheet)
 
 
-def play_all(trials: Sequence[Trial], jobs: int) -> list[DayReport]:
-    """Play trials in processes of their own, `jobs` at a time."""
+def simulate_all(trials: Sequence[Trial], jobs: int) -> list[DayReport]:
+    """Simulate trials in a pool of `jobs` worker processes."""
     with ProcessPoolExecutor(jobs) as pool:
-        return list(pool.map(play, trials))
+        return list(pool.map(simulate, trials))
 
 
-def play(trial: Trial) -> DayReport:
-    """Play one trial in this process."""
-    with _use(trial.settings), _silence():
-        return _make_day(trial).play()
+def simulate(trial: Trial) -> DayReport:
+    """Simulate a trial in this process and return its report."""
+    with _override_settings(trial.settings), _suppress_logs():
+        return _make_day(trial).simulate()
 
 
 def play_records(trial: Trial) -> Day:
-    """Play one trial and return the day with all its records."""
-    with _use(trial.settings), _silence():
+    """Simulate a trial and return the day with its request records."""
+    with _override_settings(trial.settings), _suppress_logs():
         day = _make_day(trial)
-        day.play()
+        day.simulate()
     return day
 
 
-def bound(trial: Trial) -> float:
-    """Bound what could be attained on the day of a trial."""
+def compute_trial_bound(trial: Trial) -> float:
+    """Return the upper bound of attainment for the day of a trial."""
     sheet = read_load(trial.load)
     pattern = make_patterns(sheet)[trial.pattern]
-    arrivals = draw_arrivals(sheet, pattern, SPAN_MS, trial.seed)
-    return find_bound(sheet, make_shifts(sheet, pattern), arrivals)
+    arrivals = draw_arrivals(sheet, pattern, DAY_DURATION_MS, trial.seed)
+    return compute_bound(
+        sheet, make_capacity_intervals(sheet, pattern), arrivals
+    )
 
 
-def bound_all(trials: Sequence[Trial], jobs: int) -> list[float]:
-    """Bound trials in processes of their own."""
+def compute_trial_bounds(trials: Sequence[Trial], jobs: int) -> list[float]:
+    """Compute the bounds of trials in a pool of `jobs` worker processes."""
     with ProcessPoolExecutor(jobs) as pool:
-        return list(pool.map(bound, trials))
+        return list(pool.map(compute_trial_bound, trials))
 
 
 def get_mean(reports: Sequence[DayReport]) -> float:
-    """Return the mean share of worth that was attained."""
-    return statistics.mean(one.attained for one in reports)
+    """Return the mean attained share of worth."""
+    return statistics.mean(report.attained for report in reports)
 
 
 @contextmanager
-def _silence() -> Iterator[None]:
-    """Keep the log of thousands of modelled requests back, but errors."""
-    earlier = logging.get_verbosity()
+def _suppress_logs() -> Iterator[None]:
+    """Log errors only; a trial has thousands of simulated requests."""
+    previous = logging.get_verbosity()
     logging.set_verbosity(logging.ERROR)
     try:
         yield
     finally:
-        logging.set_verbosity(earlier)
+        logging.set_verbosity(previous)
 
 
 @contextmanager
-def _use(settings: Sequence[Setting]) -> Iterator[None]:
-    """Change defaults while a trial is played, for it alone."""
+def _override_settings(settings: Sequence[Setting]) -> Iterator[None]:
+    """Override defaults for the duration of the context."""
     for setting in settings:
         if not hasattr(global_settings, setting.name):
-            raise ValueError(f'no such default: {setting.name}')
-    earlier = {one.name: getattr(global_settings, one.name) for one in settings}
+            raise ValueError(f'unknown setting: {setting.name}')
+    previous = {
+        setting.name: getattr(global_settings, setting.name)
+        for setting in settings
+    }
     for setting in settings:
         setattr(global_settings, setting.name, setting.value)
     try:
         yield
     finally:
-        for name, default in earlier.items():
+        for name, default in previous.items():
             setattr(global_settings, name, default)
 
 
--- a/measure/fleet_model/gateway.py
+++ b/measure/fleet_model/gateway.py
@@ -1,4 +1,4 @@
-"""Model a gateway: the product's decisions, the model's network."""
+"""Simulate a gateway with production code on a simulated network."""
 
 import asyncio
 
@@ -6,8 +6,8 @@
 
 from measure.fleet_model.arrivals import Arrival
 from measure.fleet_model.network import Network
-from measure.fleet_model.outcome import Answer
-from measure.fleet_model.pings import ping_forever
+from measure.fleet_model.outcome import GatewayResponse
+from measure.fleet_model.pings import ping_hosts
 from measure.fleet_model.stage_instance import InstanceLost, StageInstance
 from ragworthollow.conf import GatewaySettings, global_settings
 from ragworthollow.exchange import (
@@ -41,56 +41,56 @@
 ENGINES = 'engines'
 _MILLISECONDS = 1000
 
-Found = tuple[PieceResult, ...]
+PieceResults = tuple[PieceResult, ...]
 
 
 class ModelGateway:
     """
-    Serve requests as a gateway does, without sockets.
+    Serve requests like a gateway, without sockets.
 
     Parameters
     ----------
     settings : GatewaySettings
-        Its name and place.
-    table : RouteTable
-        Configuration in force.
+        Settings, among them its name and failure domain.
+    route_table : RouteTable
+        Active route table.
     network : Network
-        What it reaches, and the other gateways.
+        Network that connects it with instances and other gateways.
     """
 
     def __init__(
         self,
         *,
         settings: GatewaySettings,
-        table: RouteTable,
+        route_table: RouteTable,
         network: Network,
     ) -> None:
         self.name = settings.instance
         self.context = GatewayContext(settings=settings)
-        self.context.route_table = table
+        self.context.route_table = route_table
         self.members = GatewayMembers(instance=self.name)
         self._network = network
-        self._usual_limits = TypicalTimeLimits()
+        self._typical_limits = TypicalTimeLimits()
         self.service = PieceService(
             context=self.context,
             send=self._send,
-            release_at=self._free_at,
-            query=self._ask_working,
+            release_at=self._release_at,
+            query=self._query_is_busy,
         )
         self.client = PieceClient(
             context=self.context,
             members=self.members,
             service=self.service,
-            send_pieces=self._ask,
-            send_release=self._tell,
+            send_pieces=self._request_pieces,
+            send_release=self._notify_released,
         )
         self._deferral = DeferralQueue(
             context=self.context,
             get_waits_ms=self.client.get_waits_ms,
         )
 
-    def describe(self) -> GatewayMember:
-        """Return what the others know of it."""
+    def make_member(self) -> GatewayMember:
+        """Return its member record, as other gateways see it."""
         return GatewayMember(
             instance=self.name,
             incarnation=self.name,
@@ -99,34 +99,34 @@
         )
 
     def start(self) -> None:
-        """Begin to advance gates and to ping their hosts."""
-        self.context.spawn(self._tick())
-        self.context.spawn(ping_forever(self, self._network))
+        """Start to run the schedulers and to ping their hosts."""
+        self.context.spawn(self._run_scheduling_cycles())
+        self.context.spawn(ping_hosts(self, self._network))
 
     async def serve(
         self,
         arrival: Arrival,
         route: Route,
         time_limit_ms: float,
-    ) -> Answer:
-        """Answer a request at its first event, or refuse it."""
-        await self._network.wait_awake(self.name)
-        terms = self._make_terms(arrival, time_limit_ms)
+    ) -> GatewayResponse:
+        """Serve a request up to its first event, or refuse it."""
+        await self._network.wait_until_running(self.name)
+        parameters = self._make_parameters(arrival, time_limit_ms)
         now_ms = get_monotonic_ms()
         job = RequestJob(
             request=None,
             body=b'',
-            request_parameters=terms,
+            request_parameters=parameters,
             route=route,
             holder=None,
             pool=ENGINES,
             route_table=self.context.route_table,
-            waited_ms=self._usual_limits.record(route.name, time_limit_ms),
-            fingerprint=terms.request_id,
+            waited_ms=self._typical_limits.record(route.name, time_limit_ms),
+            fingerprint=parameters.request_id,
             received_ms=now_ms,
             deadline_ms=now_ms + time_limit_ms,
         )
-        way = LatencyEstimate(
+        estimate = LatencyEstimate(
             job=job,
             first_event_ms=self.context.get_first_event_latency(
                 ENGINES
@@ -134,16 +134,16 @@
                 job.request_parameters.prompt_tokens,
             ),
         )
-        refusal = refuse_if_late(job, way, self.client.get_waits_ms)
+        refusal = refuse_if_late(job, estimate, self.client.get_waits_ms)
         if refusal is not None:
-            if not await self._deferral.wait(job, way):
+            if not await self._deferral.wait(job, estimate):
                 return self._refuse(refusal)
-            way = way.as_deferred()
+            estimate = estimate.as_deferred()
         engine = self.context.directory.get(self._choose_engine(job))
         stages = StageGraphRunner(
             client=self.client,
             job=job,
-            estimate=way,
+            estimate=estimate,
             failure_domain=engine.failure_domain,
         )
         try:
@@ -151,12 +151,14 @@
         finally:
             stages.release()
 
-    async def _run(self, job: RequestJob, stages: StageGraphRunner) -> Answer:
+    async def _run(
+        self, job: RequestJob, stages: StageGraphRunner
+    ) -> GatewayResponse:
         try:
             async with asyncio.timeout(job.get_remaining_ms() / _MILLISECONDS):
-                made = await stages.run()
+                stage_result = await stages.run()
         except TimeoutError:
-            made = Err(
+            stage_result = Err(
                 UpstreamFailure(
                     outcome=Outcome.not_run,
                     reason=Reason.deadline_exceeded,
@@ -164,32 +166,34 @@
                     peer=job.pool,
                 ),
             )
-        if isinstance(made, Err):
-            return self._refuse(made.err_value)
-        chosen = self._choose_engine(job)
-        record = self.context.load_tracker.get(chosen)
-        record.in_flight += 1
+        if isinstance(stage_result, Err):
+            return self._refuse(stage_result.err_value)
+        engine_name = self._choose_engine(job)
+        load = self.context.load_tracker.get(engine_name)
+        load.in_flight += 1
         sent_ms = get_monotonic_ms()
-        reading = asyncio.get_running_loop().call_later(
+        release_timer = asyncio.get_running_loop().call_later(
             global_settings.ENGINE_INPUTS_READ_MS / _MILLISECONDS,
             stages.release,
         )
         try:
             await self._network.read_prompt(
-                self.name, chosen, job.request_parameters
+                self.name, engine_name, job.request_parameters
             )
         finally:
-            reading.cancel()
-            record.in_flight -= 1
+            release_timer.cancel()
+            load.in_flight -= 1
         self.context.get_first_event_latency(ENGINES).record(
             job.request_parameters.prompt_tokens,
             get_monotonic_ms() - sent_ms,
         )
-        self._network.generate(chosen, job.request_parameters.output_tokens)
-        return Answer(is_served=True)
+        self._network.generate(
+            engine_name, job.request_parameters.output_tokens
+        )
+        return GatewayResponse(is_served=True)
 
     def _choose_engine(self, job: RequestJob) -> str:
-        chosen = choose_upstream(
+        engine = choose_upstream(
             self.context.directory.get_pool(ENGINES),
             self.context.load_tracker,
             UpstreamCriteria(
@@ -198,9 +202,9 @@
             get_monotonic_ms(),
             self.context.rng,
         )
-        return chosen.instance
+        return engine.instance
 
-    def _make_terms(
+    def _make_parameters(
         self,
         arrival: Arrival,
         time_limit_ms: float,
@@ -223,10 +227,10 @@
             piece_key=f'{arrival.number}',
         )
 
-    def _refuse(self, failure: UpstreamFailure) -> Answer:
+    def _refuse(self, failure: UpstreamFailure) -> GatewayResponse:
         response = refuse(failure, self.context.rng)
         after_s = float(response.headers.get('Retry-After', 0))
-        return Answer(
+        return GatewayResponse(
             is_served=False,
             reason=failure.reason,
             retry_after_ms=after_s * _MILLISECONDS,
@@ -236,12 +240,12 @@
         self,
         context: GatewayContext,
         call: PieceCall,
-    ) -> Result[Found, UpstreamFailure]:
+    ) -> Result[PieceResults, UpstreamFailure]:
         pieces = tuple(waiting.piece for waiting in call.pieces)
         instance = self._network.stages[call.instance.instance]
-        await self._network.travel(self.name)
+        await self._network.transmit(self.name)
         try:
-            found = await instance.run(pieces, self._network.stages)
+            results = await instance.run(pieces, self._network.stages)
         except InstanceLost as error:
             return Err(
                 UpstreamFailure(
@@ -252,63 +256,63 @@
                     detail=str(error),
                 ),
             )
-        await self._network.travel(self.name)
-        return Ok(found)
+        await self._network.transmit(self.name)
+        return Ok(results)
 
-    async def _ask_working(
+    async def _query_is_busy(
         self,
         context: GatewayContext,
         instance: UpstreamInstance,
     ) -> bool | None:
-        await self._network.travel(self.name)
-        return self._network.stages[instance.instance].is_working()
+        await self._network.transmit(self.name)
+        return self._network.stages[instance.instance].is_busy()
 
-    async def _free_at(
+    async def _release_at(
         self,
         context: GatewayContext,
-        maker: str,
+        producer: str,
         handles: tuple[str, ...],
     ) -> None:
-        await self._network.travel(self.name)
-        instance: StageInstance = self._network.stages[maker]
+        await self._network.transmit(self.name)
+        instance: StageInstance = self._network.stages[producer]
         for handle in handles:
-            instance.free(handle)
+            instance.release(handle)
 
-    async def _ask(
+    async def _request_pieces(
         self,
         context: GatewayContext,
         host: GatewayMember,
         pool: str,
         pieces: tuple[Piece, ...],
-    ) -> Result[Found, str]:
-        if not await self._network.reach(self.name, host.instance):
+    ) -> Result[PieceResults, str]:
+        if not await self._network.try_deliver(self.name, host.instance):
             return Err('no connection')
         peer = self._network.gateways[host.instance]
         peer.service.requesters.record_request(
             self.context.incarnation, get_monotonic_ms()
         )
-        found = await peer.service.run(pool, pieces)
-        if not await self._network.reach(host.instance, self.name):
+        results = await peer.service.run(pool, pieces)
+        if not await self._network.try_deliver(host.instance, self.name):
             return Err('connection lost')
-        return Ok(found)
+        return Ok(results)
 
-    async def _tell(
+    async def _notify_released(
         self,
         context: GatewayContext,
         host: GatewayMember,
         release: ResultsRelease,
     ) -> bool:
-        if not await self._network.reach(self.name, host.instance):
+        if not await self._network.try_deliver(self.name, host.instance):
             return False
         peer = self._network.gateways[host.instance]
         peer.service.release(release.pool, release.handles)
         return True
 
-    async def _tick(self) -> None:
+    async def _run_scheduling_cycles(self) -> None:
         while True:
             await asyncio.sleep(
                 global_settings.SCHEDULER_TICK_MS / _MILLISECONDS
             )
-            await self._network.wait_awake(self.name)
+            await self._network.wait_until_running(self.name)
             self.service.advance_all()
             self._deferral.start_ready()
--- a/measure/fleet_model/hosting.py
+++ b/measure/fleet_model/hosting.py
@@ -1,4 +1,4 @@
-"""Choose who fills the calls of a pool."""
+"""Choose the gateways that host the schedulers of pools."""
 
 import enum
 
@@ -7,19 +7,19 @@
 
 class Hosting(enum.StrEnum):
     """
-    Name the ways that are weighed.
+    Enumerate the strategies that are compared.
 
     Attributes
     ----------
     pool
-        One gateway hosts the gate of a pool, chosen by rendezvous hashing;
-        this is what the product does.
+        One gateway, chosen by rendezvous hashing, hosts the scheduler of a
+        pool; this is the production behavior.
     domain
-        A gateway hosts the gate of a pool for its own failure domain: calls
-        are filled by the requests of one domain only.
+        One gateway in each failure domain hosts a scheduler of the pool: a
+        call contains pieces of requests from a single domain only.
     own
-        Each gateway fills calls with its own requests and knows of its own
-        calls only.
+        Each gateway runs its own scheduler, which batches the gateway's own
+        requests and sees its own calls only.
     """
 
     pool = 'pool'
@@ -27,18 +27,18 @@
     own = 'own'
 
 
-def connect(hosting: Hosting, network: Network) -> None:
-    """Make the gateways known to those with which they share gates."""
-    everyone = [one.describe() for one in network.gateways.values()]
+def set_gateway_members(hosting: Hosting, network: Network) -> None:
+    """Set the members of each gateway to those that share schedulers."""
+    members = [member.make_member() for member in network.gateways.values()]
     for gateway in network.gateways.values():
-        own = gateway.describe()
+        own = gateway.make_member()
         if hosting is Hosting.pool:
-            gateway.members.replace(everyone)
+            gateway.members.replace(members)
         elif hosting is Hosting.domain:
             gateway.members.replace(
-                one
-                for one in everyone
-                if one.failure_domain == own.failure_domain
+                member
+                for member in members
+                if member.failure_domain == own.failure_domain
             )
         else:
             gateway.members.replace([own])
--- a/measure/fleet_model/load_sheet.py
+++ b/measure/fleet_model/load_sheet.py
@@ -1,4 +1,4 @@
-"""Define what a deployment has and what is asked of it."""
+"""Define the schema of a deployment, its load and its faults."""
 
 from dataclasses import dataclass
 
@@ -13,15 +13,15 @@
     Attributes
     ----------
     instances : int
-        How many; they are spread over the failure domains in turn.
+        Number of instances, assigned to failure domains round robin.
     batch : int
-        Most pieces of one call.
+        Maximum number of pieces in a call.
     call_ms, piece_ms : float
-        Time of a call, and of each of its pieces.
+        Fixed time of a call, and additional time per piece.
     room_bytes : int
-        Space for results at one instance.
+        Space for results on each instance.
     kept_ms : float
-        How long a result is kept that nobody frees.
+        Time to live of a result that is not released.
     """
 
     instances: int
@@ -32,7 +32,7 @@
     kept_ms: float
 
     def make_profile(self) -> PieceProfile:
-        """Return what the configuration would say of the pool."""
+        """Return the piece profile of the pool, as configured."""
         return PieceProfile(
             concurrency=1,
             batch_limit=self.batch,
@@ -52,15 +52,15 @@
     instances : int
         How many.
     slots : int
-        Requests that one works on at a time.
+        Maximum number of concurrent requests on an engine.
     prompt_tokens_per_ms : float
-        How fast a prompt is read.
+        Speed of reading a prompt.
     first_ms : float
-        Time to the first event beside the prompt.
+        Time to the first event after the prompt was read.
     step_ms, step_ms_per_request : float
-        Time of an output token, and what each running request adds.
+        Time per output token, and additional time per running request.
     cache_tokens : int
-        Prompt tokens that one keeps.
+        Capacity of the prompt cache of an engine.
     """
 
     instances: int
@@ -79,19 +79,19 @@
     Attributes
     ----------
     pool : str
-        Pool that makes it.
+        Pool that runs the stage.
     after : tuple of int
-        Positions of the stages that it reads.
+        Positions of the stages whose results it reads.
     pieces : float
-        Mean number of pieces.
+        Mean number of pieces per request.
     most : int
-        Most pieces; equal to the mean for a fixed number.
+        Maximum number of pieces; if equal to the mean, the number is fixed.
     share : float
-        Part of the requests that have the stage.
+        Fraction of the requests that have the stage.
     result_bytes : int
         Size of one result.
     work_share : float
-        Time of a piece as a share of the pool's.
+        Time of a piece as a fraction of `piece_ms` of the pool.
     """
 
     pool: str
@@ -110,20 +110,20 @@
     Attributes
     ----------
     rate : float
-        Requests a second on a calm day.
+        Requests per second without bursts.
     objective_ms, timeout_ms : float
-        Latency objective of the first event, and the callers' patience.
+        Latency objective of the first event, and timeout of callers.
     priority : int
-        Rank, 0 first.
+        Priority; 0 is the highest.
     worth, late_worth : float
-        What an answer in time, and a late one, is worth.
+        Worth of a response in time, and of a late response.
     shared_tokens, own_tokens, output_tokens : int
-        Mean prompt tokens that requests share and that are their own, and
-        tokens generated.
+        Shared prompt tokens, mean number of prompt tokens that are not
+        shared, and generated tokens.
     subjects : int
-        How many shared prompts there are.
+        Number of distinct shared prompts.
     stages : tuple of StageSheet
-        Work before the engine.
+        Stages that run before the engine.
     """
 
     rate: float
@@ -148,17 +148,17 @@
     gateways : int
         How many.
     failure_domains : tuple of str
-        Where gateways and instances run, in turn.
+        Failure domains, assigned to gateways and instances round robin.
     one_way_ms : float
-        Network time between two processes.
+        One-way network latency between two processes.
     caller_ms : float
-        Network time between callers and gateways.
+        One-way network latency between callers and gateways.
     engine : EngineSheet
         The model engines.
     pools : dict
         Stage pools by name.
     kinds : dict
-        Kinds of requests by name.
+        Request kinds by name.
     """
 
     gateways: int
@@ -173,22 +173,22 @@
 @dataclass(frozen=True, kw_only=True, slots=True)
 class Pattern:
     """
-    Describe what happens on a day.
+    Describe the bursts and faults of a day.
 
     Attributes
     ----------
     name : str
-        For tables.
+        Name in tables.
     bursts : tuple of Burst
-        When more requests come.
+        Intervals with a higher request rate.
     lost : tuple of LostInstance
-        Stage instances that vanish for a while.
+        Stage instances that are lost for an interval.
     slow : tuple of SlowInstance
-        Stage instances that turn slow for a while.
+        Stage instances that are slow for an interval.
     gateway_fault : GatewayFault or None
-        What befalls the first host of a gate.
+        Fault of the gateway that hosts the scheduler of the first pool.
     all_killed : GatewayFault or None
-        When all gateways are killed, and back without their memory.
+        Fault that kills all gateways; they restart without state.
     """
 
     name: str
@@ -201,7 +201,7 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class Burst:
-    """Say when a kind (all of them: empty) comes `factor` times as often."""
+    """Multiply the rate of a kind, or of all if empty, by `factor`."""
 
     kind: str
     start_ms: float
@@ -211,7 +211,7 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class LostInstance:
-    """Say when one instance of a pool is gone."""
+    """Describe when an instance of a pool is lost."""
 
     pool: str
     number: int
@@ -221,7 +221,7 @@
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class SlowInstance:
-    """Say when one instance of a pool takes `factor` times as long."""
+    """Describe when an instance of a pool takes `factor` times as long."""
 
     pool: str
     number: int
@@ -233,14 +233,14 @@
 @dataclass(frozen=True, kw_only=True, slots=True)
 class GatewayFault:
     """
-    Say what befalls the gateway that hosts the busiest gate.
+    Describe a fault of a gateway.
 
     Attributes
     ----------
     kind : str
-        `kill`, `freeze` or `cut` (it cannot reach the other gateways).
+        `kill`, `freeze` or `cut` (the other gateways are unreachable).
     start_ms, end_ms : float
-        From when to when.
+        Start and end of the fault.
     """
 
     kind: str
--- a/measure/fleet_model/network.py
+++ b/measure/fleet_model/network.py
@@ -1,4 +1,4 @@
-"""Model what connects gateways, stage instances and engines."""
+"""Simulate the network of gateways, stage instances and engines."""
 
 import asyncio
 from typing import TYPE_CHECKING
@@ -17,12 +17,12 @@
 
 class Network:
     """
-    Carry what processes say to each other.
+    Deliver messages between processes and apply gateway faults.
 
     Parameters
     ----------
     sheet : LoadSheet
-        Delays.
+        Network latencies.
     """
 
     def __init__(self, *, sheet: LoadSheet) -> None:
@@ -33,39 +33,40 @@
         self.faults: dict[str, GatewayFault] = {}
         self._generating: set[asyncio.Task[None]] = set()
 
-    def find_fault(self, name: str) -> str:
-        """Return what befalls a gateway now; empty for nothing."""
+    def get_active_fault(self, name: str) -> str:
+        """Return the kind of the current fault of a gateway; empty if none."""
         fault = self.faults.get(name)
         now_ms = get_monotonic_ms()
         if fault is None or not fault.start_ms <= now_ms < fault.end_ms:
             return ''
         return fault.kind
 
-    async def travel(self, name: str) -> None:
-        """Pass the network; a process that is frozen notices later."""
+    async def transmit(self, name: str) -> None:
+        """Wait for the one-way latency and until the receiver is not frozen."""
         await asyncio.sleep(self.sheet.one_way_ms / _MILLISECONDS)
-        await self.wait_awake(name)
+        await self.wait_until_running(name)
 
-    async def wait_awake(self, name: str) -> None:
+    async def wait_until_running(self, name: str) -> None:
         """Wait until a process is not frozen."""
         fault = self.faults.get(name)
-        if fault is not None and self.find_fault(name) == 'freeze':
-            left_ms = fault.end_ms - get_monotonic_ms()
-            await asyncio.sleep(left_ms / _MILLISECONDS)
+        if fault is not None and self.get_active_fault(name) == 'freeze':
+            remaining_ms = fault.end_ms - get_monotonic_ms()
+            await asyncio.sleep(remaining_ms / _MILLISECONDS)
 
-    async def reach(self, sender: str, receiver: str) -> bool:
+    async def try_deliver(self, sender: str, receiver: str) -> bool:
         """
-        Pass from one gateway to another; False where nothing answers.
+        Deliver a message between gateways; return False if unreachable.
 
-        A cut shows as silence, for as long as it lasts.
+        While a gateway is cut off, a message gets no response until the fault
+        ends.
         """
-        await self.travel(receiver)
-        if self.find_fault(receiver) == 'kill':
+        await self.transmit(receiver)
+        if self.get_active_fault(receiver) == 'kill':
             return False
         for name in (sender, receiver):
-            if self.find_fault(name) == 'cut':
-                left_ms = self.faults[name].end_ms - get_monotonic_ms()
-                await asyncio.sleep(left_ms / _MILLISECONDS)
+            if self.get_active_fault(name) == 'cut':
+                remaining_ms = self.faults[name].end_ms - get_monotonic_ms()
+                await asyncio.sleep(remaining_ms / _MILLISECONDS)
                 return False
         return True
 
@@ -73,25 +74,25 @@
         self,
         name: str,
         engine: str,
-        terms: RequestParameters,
+        parameters: RequestParameters,
     ) -> None:
-        """Return at the first event of an answer."""
-        shared, own = terms.prompt_parts
-        await self.travel(name)
+        """Let an engine read a prompt; return at the first event."""
+        shared, own = parameters.prompt_parts
+        await self.transmit(name)
         await self.engines[engine].read_prompt(
             shared.part,
             shared.tokens,
             own.tokens,
         )
-        await self.travel(name)
+        await self.transmit(name)
 
     def close(self) -> None:
-        """Stop generating."""
+        """Cancel all generation tasks."""
         for task in self._generating:
             task.cancel()
 
     def generate(self, engine: str, tokens: int) -> None:
-        """Let an engine generate the rest of an answer."""
+        """Let an engine generate the rest of a response in the background."""
         task = asyncio.ensure_future(self.engines[engine].generate(tokens))
         self._generating.add(task)
         task.add_done_callback(self._generating.discard)
--- a/measure/fleet_model/outcome.py
+++ b/measure/fleet_model/outcome.py
@@ -1,4 +1,4 @@
-"""Define what became of requests, and sum it up."""
+"""Define outcomes of requests and aggregate them."""
 
 from collections import Counter
 from dataclasses import dataclass
@@ -10,8 +10,8 @@
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
-class Answer:
-    """Hold what a gateway answered."""
+class GatewayResponse:
+    """Hold the response of a gateway."""
 
     is_served: bool
     reason: Reason | None = None
@@ -21,31 +21,31 @@
 @dataclass(frozen=True, kw_only=True, slots=True)
 class RequestRecord:
     """
-    Hold what became of a request.
+    Hold the outcome of a request.
 
     Attributes
     ----------
     arrival : Arrival
         The request.
     took_ms : float or None
-        From its first try to its first event; None when it was not served.
-    tries : int
-        How often its caller sent it.
+        Time from its arrival to its first event; None if it was not served.
+    attempts : int
+        Number of times that its caller sent it.
     refused_ms : float or None
-        How long its caller was held before the first refusal.
+        Time from its arrival to the first refusal; None if never refused.
     reason : Reason or None
-        Why it was not served.
+        Reason why it was not served.
     """
 
     arrival: Arrival
     took_ms: float | None
-    tries: int
+    attempts: int
     refused_ms: float | None = None
     reason: Reason | None = None
 
 
 class KindReport(Message):
-    """Sum up one kind of request, as shares of its requests."""
+    """Summarize a kind of requests, as fractions of its requests."""
 
     requests: int
     in_time: float
@@ -57,7 +57,7 @@
 
 
 class PoolReport(Message):
-    """Sum up a stage pool: share of time at work, and pieces a call."""
+    """Summarize a stage pool: utilization and completed pieces."""
 
     busy: float
     pieces: int
@@ -65,18 +65,18 @@
 
 class DayReport(Message):
     """
-    Sum up a day.
+    Summarize a day.
 
     Attributes
     ----------
     attained : float
-        Worth earned as a share of all worth, late answers by their own.
+        Earned share of the total worth; late responses earn `late_worth`.
     kinds : dict
-        By kind of request.
+        Reports by kind of request.
     pools : dict
-        By stage pool.
+        Reports by stage pool.
     tokens_read : int
-        Shared prompt tokens that engines had to read.
+        Shared prompt tokens that engines read because of cache misses.
     """
 
     attained: float
@@ -85,8 +85,8 @@
     tokens_read: int = 0
 
 
-def get_value(sheet: LoadSheet, record: RequestRecord) -> float:
-    """Return the worth that a request has earned."""
+def get_earned_worth(sheet: LoadSheet, record: RequestRecord) -> float:
+    """Return the worth that a request earned."""
     kind = sheet.kinds[record.arrival.kind]
     if record.took_ms is None:
         return 0
@@ -95,45 +95,53 @@
     return kind.late_worth
 
 
-def is_in_time(sheet: LoadSheet, record: RequestRecord) -> bool:
-    """Tell whether a request met its objective."""
+def is_within_objective(sheet: LoadSheet, record: RequestRecord) -> bool:
+    """Return whether a request met its latency objective."""
     objective_ms = sheet.kinds[record.arrival.kind].objective_ms
     return record.took_ms is not None and record.took_ms <= objective_ms
 
 
 def sum_attained(sheet: LoadSheet, records: list[RequestRecord]) -> float:
-    """Return the share of all worth that was earned."""
-    owed = sum(sheet.kinds[one.arrival.kind].worth for one in records)
-    return sum(get_value(sheet, one) for one in records) / owed
+    """Return the earned share of the total worth."""
+    total_worth = sum(
+        sheet.kinds[record.arrival.kind].worth for record in records
+    )
+    return (
+        sum(get_earned_worth(sheet, record) for record in records) / total_worth
+    )
 
 
-def sum_kinds(
+def summarize_kinds(
     sheet: LoadSheet,
     records: list[RequestRecord],
 ) -> dict[str, KindReport]:
-    """Sum up each kind."""
+    """Return a report for each kind of request."""
     return {
-        kind: _sum_kind(
+        kind: _summarize_kind(
             sheet,
-            [one for one in records if one.arrival.kind == kind],
+            [record for record in records if record.arrival.kind == kind],
         )
         for kind in sheet.kinds
     }
 
 
-def _sum_kind(sheet: LoadSheet, records: list[RequestRecord]) -> KindReport:
-    took = sorted(one.took_ms for one in records if one.took_ms is not None)
-    in_time = sum(is_in_time(sheet, one) for one in records)
-    counts = Counter(one.tries for one in records)
-    total = max(1, len(records))
+def _summarize_kind(
+    sheet: LoadSheet, records: list[RequestRecord]
+) -> KindReport:
+    latencies_ms = sorted(
+        record.took_ms for record in records if record.took_ms is not None
+    )
+    in_time = sum(is_within_objective(sheet, record) for record in records)
+    attempt_counts = Counter(record.attempts for record in records)
+    count = max(1, len(records))
     return KindReport(
         requests=len(records),
-        in_time=in_time / total,
-        late=(len(took) - in_time) / total,
-        refused=(len(records) - len(took)) / total,
-        again=(len(records) - counts[1]) / total,
-        p50_ms=_get_quantile(took, 0.5),
-        p95_ms=_get_quantile(took, 0.95),
+        in_time=in_time / count,
+        late=(len(latencies_ms) - in_time) / count,
+        refused=(len(records) - len(latencies_ms)) / count,
+        again=(len(records) - attempt_counts[1]) / count,
+        p50_ms=_get_quantile(latencies_ms, 0.5),
+        p95_ms=_get_quantile(latencies_ms, 0.95),
     )
 
 
--- a/measure/fleet_model/patterns.py
+++ b/measure/fleet_model/patterns.py
@@ -1,4 +1,4 @@
-"""Name the patterns of load and failure that are played."""
+"""Define the simulated patterns of load and faults."""
 
 from measure.fleet_model.load_sheet import (
     Burst,
@@ -9,32 +9,32 @@
     SlowInstance,
 )
 
-# A day of the model; as long as a day of the users' bench.
-SPAN_MS = 34_000
-# Bursts of 1.5 to 2.5 times a kind for 4 to 7 s, instances that are five times
-# as slow for 4 to 6 s and some that are taken away for good are the troubles
-# that the users list.
-_BURST_MS = 6_000
-_TROUBLE_MS = 6_000
-_BURST = 2.3
-_ALL_BURST = 1.6
-_SLOW = 5.0
-_FIRST_MS = 5_000
-_SECOND_MS = 16_000
-_LAST_MS = 26_000
-_TROUBLE_START_MS = 11_000
-# Until killed processes are back and have read what they need.
-_RESTART_MS = 1_500
+# Duration of a simulated day, the same as in the users' benchmark.
+DAY_DURATION_MS = 34_000
+# The users' benchmark has bursts of 1.5 to 2.5 times the rate of a kind for 4
+# to 7 s, instances that are five times as slow for 4 to 6 s, and instances that
+# are removed permanently.
+_BURST_DURATION_MS = 6_000
+_FAULT_DURATION_MS = 6_000
+_BURST_FACTOR = 2.3
+_ALL_KINDS_BURST_FACTOR = 1.6
+_SLOW_FACTOR = 5.0
+_FIRST_BURST_MS = 5_000
+_SECOND_BURST_MS = 16_000
+_LAST_BURST_MS = 26_000
+_FAULT_START_MS = 11_000
+# Time until killed processes have restarted and loaded their state.
+_RESTART_DURATION_MS = 1_500
 
 
 def make_patterns(sheet: LoadSheet) -> dict[str, Pattern]:
     """
-    Make the patterns for a deployment.
+    Return the patterns for a deployment.
 
     Parameters
     ----------
     sheet : LoadSheet
-        Whose kinds burst and whose pools have troubles.
+        Deployment whose kinds have bursts and whose pools have faults.
 
     Returns
     -------
@@ -46,20 +46,28 @@
         key=lambda name: -sheet.kinds[name].worth,
     )
     bursts = (
-        _make_burst(by_worth[0], _FIRST_MS, _BURST),
-        _make_burst(by_worth[1], _SECOND_MS, _BURST),
-        _make_burst('', _LAST_MS, _ALL_BURST),
+        _make_burst(by_worth[0], _FIRST_BURST_MS, _BURST_FACTOR),
+        _make_burst(by_worth[1], _SECOND_BURST_MS, _BURST_FACTOR),
+        _make_burst('', _LAST_BURST_MS, _ALL_KINDS_BURST_FACTOR),
     )
     pools = list(sheet.pools)
-    found = [
+    patterns = [
         Pattern(name='calm'),
         Pattern(name='bursts', bursts=bursts),
         *(
-            Pattern(name=f'lost-{pool}', bursts=bursts, lost=(_lose(pool),))
+            Pattern(
+                name=f'lost-{pool}',
+                bursts=bursts,
+                lost=(_make_lost_instance(pool),),
+            )
             for pool in pools
         ),
         *(
-            Pattern(name=f'slow-{pool}', bursts=bursts, slow=(_slow(pool),))
+            Pattern(
+                name=f'slow-{pool}',
+                bursts=bursts,
+                slow=(_make_slow_instance(pool),),
+            )
             for pool in pools
         ),
         *(
@@ -68,8 +76,10 @@
                 bursts=bursts,
                 gateway_fault=GatewayFault(
                     kind=kind,
-                    start_ms=_FIRST_MS + _BURST_MS / 2,
-                    end_ms=_FIRST_MS + _BURST_MS / 2 + _TROUBLE_MS,
+                    start_ms=_FIRST_BURST_MS + _BURST_DURATION_MS / 2,
+                    end_ms=_FIRST_BURST_MS
+                    + _BURST_DURATION_MS / 2
+                    + _FAULT_DURATION_MS,
                 ),
             )
             for kind in ('kill', 'freeze', 'cut')
@@ -79,37 +89,39 @@
             bursts=bursts,
             all_killed=GatewayFault(
                 kind='kill',
-                start_ms=_SECOND_MS + _BURST_MS / 2,
-                end_ms=_SECOND_MS + _BURST_MS / 2 + _RESTART_MS,
+                start_ms=_SECOND_BURST_MS + _BURST_DURATION_MS / 2,
+                end_ms=_SECOND_BURST_MS
+                + _BURST_DURATION_MS / 2
+                + _RESTART_DURATION_MS,
             ),
         ),
     ]
-    return {one.name: one for one in found}
+    return {pattern.name: pattern for pattern in patterns}
 
 
 def _make_burst(kind: str, start_ms: float, factor: float) -> Burst:
     return Burst(
         kind=kind,
         start_ms=start_ms,
-        end_ms=start_ms + _BURST_MS,
+        end_ms=start_ms + _BURST_DURATION_MS,
         factor=factor,
     )
 
 
-def _lose(pool: str) -> LostInstance:
+def _make_lost_instance(pool: str) -> LostInstance:
     return LostInstance(
         pool=pool,
         number=0,
-        start_ms=_TROUBLE_START_MS,
-        end_ms=SPAN_MS,
+        start_ms=_FAULT_START_MS,
+        end_ms=DAY_DURATION_MS,
     )
 
 
-def _slow(pool: str) -> SlowInstance:
+def _make_slow_instance(pool: str) -> SlowInstance:
     return SlowInstance(
         pool=pool,
         number=0,
-        start_ms=_TROUBLE_START_MS,
-        end_ms=_TROUBLE_START_MS + _TROUBLE_MS,
-        factor=_SLOW,
+        start_ms=_FAULT_START_MS,
+        end_ms=_FAULT_START_MS + _FAULT_DURATION_MS,
+        factor=_SLOW_FACTOR,
     )
--- a/measure/fleet_model/pings.py
+++ b/measure/fleet_model/pings.py
@@ -1,4 +1,4 @@
-"""Let modelled gateways ping the hosts of gates."""
+"""Ping the hosts of schedulers from simulated gateways."""
 
 import asyncio
 from typing import TYPE_CHECKING
@@ -14,8 +14,8 @@
 _MILLISECONDS = 1000
 
 
-async def ping_forever(gateway: 'ModelGateway', network: Network) -> None:
-    """Ask every other gateway that this one knows, until cancelled."""
+async def ping_hosts(gateway: 'ModelGateway', network: Network) -> None:
+    """Ping all other known gateways periodically until cancelled."""
     while True:
         await asyncio.sleep(global_settings.HOST_PING_MS / _MILLISECONDS)
         await asyncio.gather(
@@ -31,7 +31,7 @@
     timeout_ms = global_settings.HOST_PING_TIMEOUT_MS
     try:
         async with asyncio.timeout(timeout_ms / _MILLISECONDS):
-            state = await _ask_state(gateway, name, network)
+            state = await _request_state(gateway, name, network)
     except TimeoutError:
         state = None
     if state is None:
@@ -40,12 +40,12 @@
         gateway.members.record_response(state)
 
 
-async def _ask_state(
+async def _request_state(
     gateway: 'ModelGateway',
     name: str,
     network: Network,
 ) -> HostState | None:
-    if not await network.reach(gateway.name, name):
+    if not await network.try_deliver(gateway.name, name):
         return None
     peer = network.gateways[name]
     peer.service.requesters.record_ping(
@@ -59,6 +59,6 @@
         get_monotonic_ms(),
     )
     state = HostState(instance=name, waits_ms=peer.service.get_waits_ms())
-    if not await network.reach(name, gateway.name):
+    if not await network.try_deliver(name, gateway.name):
         return None
     return state
--- a/measure/fleet_model/recorded_day.py
+++ b/measure/fleet_model/recorded_day.py
@@ -1,4 +1,4 @@
-"""Bound a day that gateways logged."""
+"""Compute the upper bound of attainment for a logged day."""
 
 from collections.abc import Iterable, Iterator
 from dataclasses import dataclass, field, replace
@@ -7,15 +7,15 @@
 import msgspec
 
 from measure.fleet_model.arrivals import Arrival
-from measure.fleet_model.bound import Shift, find_bound
+from measure.fleet_model.bound import CapacityInterval, compute_bound
 from measure.fleet_model.load_sheet import LoadSheet
 from ragworthollow.utils.message import Message
 
 _END_MS = 1e15
 
 
-class _Line(Message):
-    """Hold the fields of a log line that tell of requests and instances."""
+class _LogLine(Message):
+    """Hold the fields of a log line about requests and instances."""
 
     event: str
     time_ms: float
@@ -31,72 +31,77 @@
 
 
 @dataclass(kw_only=True, slots=True)
-class _Instances:
-    """Know since when and until when instances were listed."""
+class _InstanceTimes:
+    """Record when instances were added to and removed from the list."""
 
     appeared_ms: dict[str, float] = field(default_factory=dict)
-    left_ms: dict[str, float] = field(default_factory=dict)
+    removed_ms: dict[str, float] = field(default_factory=dict)
 
-    def note(self, line: _Line) -> None:
+    def record(self, line: _LogLine) -> None:
         for name in line.appeared:
             self.appeared_ms.setdefault(name, line.time_ms)
         for name in line.left:
-            self.left_ms.setdefault(name, line.time_ms)
+            self.removed_ms.setdefault(name, line.time_ms)
 
 
 def bound_recorded(sheet: LoadSheet, path: Path) -> float:
     """
-    Bound what could have been attained on a logged day.
+    Return the upper bound of attainment for a logged day.
 
-    Kinds of requests are told apart by their number of stages, and pools by
-    their order in a request's stages; whether an instance was slow is not
-    known, which makes the bound higher.
+    Kinds of requests are identified by their number of stages, and pools by
+    their order in the stages of a request.  The log does not tell whether an
+    instance was slow, which makes the bound higher.
 
     Parameters
     ----------
     sheet : LoadSheet
-        The deployment.
+        Deployment and its load.
     path : Path
-        Lines of all gateways together, each with its JSON at the end.
+        Concatenated log lines of all gateways, each ending in a JSON object.
     """
-    lines = list(_read(path))
+    lines = list(_read_log(path))
     arrivals = _find_arrivals(sheet, lines)
-    start_ms = min(one.at_ms for one in arrivals)
+    start_ms = min(arrival.at_ms for arrival in arrivals)
     pools = _find_pools(sheet, lines, arrivals)
-    shifts: dict[str, list[Shift]] = {name: [] for name in sheet.pools}
-    instances = _Instances()
+    intervals: dict[str, list[CapacityInterval]] = {
+        name: [] for name in sheet.pools
+    }
+    instances = _InstanceTimes()
     for line in lines:
-        instances.note(line)
+        instances.record(line)
     for instance, pool in pools.items():
-        shifts[pool].append(
-            Shift(
+        intervals[pool].append(
+            CapacityInterval(
                 start_ms=instances.appeared_ms.get(instance, 0) - start_ms,
-                end_ms=instances.left_ms.get(instance, _END_MS) - start_ms,
+                end_ms=instances.removed_ms.get(instance, _END_MS) - start_ms,
             ),
         )
-    return find_bound(
+    return compute_bound(
         sheet,
-        shifts,
-        [replace(one, at_ms=one.at_ms - start_ms) for one in arrivals],
+        intervals,
+        [
+            replace(arrival, at_ms=arrival.at_ms - start_ms)
+            for arrival in arrivals
+        ],
     )
 
 
-def _read(path: Path) -> Iterator[_Line]:
+def _read_log(path: Path) -> Iterator[_LogLine]:
     with path.open(encoding='utf-8') as text:
         for row in text:
             _, brace, rest = row.partition('{"time_ms"')
             if brace:
-                yield msgspec.json.decode(brace + rest, type=_Line)
+                yield msgspec.json.decode(brace + rest, type=_LogLine)
 
 
 def _find_arrivals(
     sheet: LoadSheet,
-    lines: Iterable[_Line],
+    lines: Iterable[_LogLine],
 ) -> list[Arrival]:
-    """Find the first tries of requests with stages."""
+    """Return the first attempts of requests with stages."""
     by_stages = {len(kind.stages): name for name, kind in sheet.kinds.items()}
     if len(by_stages) < len(sheet.kinds):
-        raise ValueError('two kinds of requests have as many stages')
+        raise ValueError('two kinds of requests have the same number of stages')
     arrivals = []
     for line in lines:
         counts = line.pieces if isinstance(line.pieces, tuple) else ()
@@ -118,17 +123,17 @@
 
 def _find_pools(
     sheet: LoadSheet,
-    lines: Iterable[_Line],
+    lines: Iterable[_LogLine],
     arrivals: Iterable[Arrival],
 ) -> dict[str, str]:
-    """Return the pool of each instance that has made pieces."""
-    kinds = {one.request_id: one.kind for one in arrivals}
+    """Return the pool of each instance that completed pieces."""
+    kinds = {arrival.request_id: arrival.kind for arrival in arrivals}
     wire_names: dict[str, list[str]] = {}
-    pools_of: dict[str, str] = {}
+    pools_by_instance: dict[str, str] = {}
     for line in lines:
         if line.event != 'pieces_done':
             continue
-        pools_of[line.peer] = line.pool
+        pools_by_instance[line.peer] = line.pool
         for request_id in line.requests:
             seen = wire_names.setdefault(request_id, [])
             if line.pool not in seen:
@@ -138,7 +143,7 @@
         names.update(_name_pools(sheet, kinds.get(request_id), seen))
     return {
         instance: names[wire_name]
-        for instance, wire_name in pools_of.items()
+        for instance, wire_name in pools_by_instance.items()
         if wire_name in names
     }
 
@@ -148,10 +153,12 @@
     kind: str | None,
     seen: list[str],
 ) -> dict[str, str]:
-    """Match the pools of one request with those of its kind, in order."""
+    """Map the logged pools of a request to those of its kind, in order."""
     if kind is None:
         return {}
-    pools = list(dict.fromkeys(one.pool for one in sheet.kinds[kind].stages))
+    pools = list(
+        dict.fromkeys(stage.pool for stage in sheet.kinds[kind].stages)
+    )
     if len(pools) != len(seen):
         return {}
     return dict(zip(seen, pools, strict=True))
--- a/measure/fleet_model/rows.py
+++ b/measure/fleet_model/rows.py
@@ -1,4 +1,4 @@
-"""Print what days came to."""
+"""Print the results of simulated days."""
 
 import statistics
 from collections.abc import Sequence
@@ -11,7 +11,7 @@
 
 
 class TableRow(Message):
-    """Hold the days of one row and their mean."""
+    """Hold the reports of a table row and their mean attainment."""
 
     name: str
     attained: float
@@ -20,7 +20,7 @@
 
 
 def print_rows(rows: Sequence[TableRow]) -> None:
-    """Print a table: by kind in time, late and refused, by pool its use."""
+    """Print a table of outcomes by kind and utilization by pool."""
     table = Table()
     table.add_column('days')
     table.add_column('attained')
@@ -42,11 +42,11 @@
         f'{row.attained:.3f}',
         bound,
         *(
-            _render_kind([one.kinds[kind] for one in row.reports])
+            _render_kind([report.kinds[kind] for report in row.reports])
             for kind in first.kinds
         ),
         *(
-            _render_use([one.pools[pool].busy for one in row.reports])
+            _render_use([report.pools[pool].busy for report in row.reports])
             for pool in first.pools
         ),
     ]
@@ -54,9 +54,9 @@
 
 def _render_kind(kinds: Sequence[KindReport]) -> str:
     parts = (
-        statistics.mean(one.in_time for one in kinds),
-        statistics.mean(one.late for one in kinds),
-        statistics.mean(one.refused for one in kinds),
+        statistics.mean(kind.in_time for kind in kinds),
+        statistics.mean(kind.late for kind in kinds),
+        statistics.mean(kind.refused for kind in kinds),
     )
     return ' / '.join(f'{part:.2f}' for part in parts)
 
--- a/measure/fleet_model/stage_instance.py
+++ b/measure/fleet_model/stage_instance.py
@@ -1,4 +1,4 @@
-"""Model an instance of a stage pool."""
+"""Simulate an instance of a stage pool."""
 
 import asyncio
 import itertools
@@ -10,39 +10,39 @@
 from ragworthollow.pieces import Piece, PieceOutcome, PieceResult
 
 _MILLISECONDS = 1000
-# Bytes a millisecond between instances (10 Gbit/s).
+# Network throughput between instances in bytes per millisecond (10 Gbit/s).
 _LINK_BYTES_PER_MS = 1_250_000
-# Part of the pieces that fail by themselves, as seen on the users' bench
-# (8 of 3,800).
-_FAILING_SHARE = 0.002
-# How far the time of a call strays from its description.
+# Share of pieces that fail without an injected fault; 8 of 3,800 did so in the
+# users' benchmark.
+_FAILURE_SHARE = 0.002
+# Relative standard deviation of the time of a call.
 _JITTER = 0.05
 
 
 class InstanceLost(Exception):
-    """Say that an instance is gone."""
+    """Raised when an instance is lost."""
 
 
 @dataclass(kw_only=True, slots=True)
-class _Kept:
+class _StoredResult:
     result_bytes: int
-    until_ms: float
+    expires_ms: float
 
 
 class StageInstance:
     """
-    Work on one call at a time, and keep results while there is space.
+    Run one call at a time and store results while there is space.
 
     Parameters
     ----------
     name : str
-        Its identifier, and its address in handles.
+        Identifier, also used as its address in result handles.
     sheet : StagePoolSheet
-        How it works.
+        Speed and space of the instances of the pool.
     work_shares : mapping of int to float
-        Time of a piece by its result size, as a share of the pool's.
+        Time of a piece as a fraction of `piece_ms`, by size of its result.
     seed : int
-        Of failures and jitter.
+        Seed of random failures and jitter.
     """
 
     def __init__(
@@ -57,48 +57,52 @@
         self.slow_factor: float = 1
         self.is_lost = False
         self.busy_ms: float = 0
-        self.pieces_made = 0
-        # When each call began and how long it took.
+        self.pieces_completed = 0
+        # Start and duration of each call, in ms.
         self.calls: list[tuple[float, float]] = []
         self._sheet = sheet
         self._work_shares = work_shares
         self._rng = random.Random(f'{name}/{seed}')  # noqa: S311
-        self._turn = asyncio.Lock()
-        self._kept: dict[str, _Kept] = {}
+        self._work_lock = asyncio.Lock()
+        self._results: dict[str, _StoredResult] = {}
         self._numbers = itertools.count()
 
     async def run(
         self,
         pieces: tuple[Piece, ...],
-        holds: Mapping[str, 'StageInstance'],
+        instances: Mapping[str, 'StageInstance'],
     ) -> tuple[PieceResult, ...]:
         """
-        Make pieces when the turn of their call comes.
+        Run the pieces of a call after the earlier calls have ended.
 
         Parameters
         ----------
         pieces : tuple of Piece
-            Of one call.
-        holds : mapping of str to StageInstance
+            Pieces of the call.
+        instances : mapping of str to StageInstance
             All instances by address, to read inputs from.
 
         Raises
         ------
         InstanceLost
-            It is gone, or went while it worked.
+            The instance is lost, or was lost during the call.
         """
         if self.is_lost:
             raise InstanceLost(self.name)
-        async with self._turn:
+        async with self._work_lock:
             accepted = self._reserve(pieces)
             work_ms = self._sheet.call_ms + sum(
-                self._sheet.piece_ms * self._work_shares[one.result_bytes]
-                for one in accepted
+                self._sheet.piece_ms * self._work_shares[piece.result_bytes]
+                for piece in accepted
             )
-            # Inputs are read when the turn comes, and needed no more then.
-            gone = [one for one in accepted if _is_gone(one, holds)]
+            # Inputs are read when the call starts and not needed afterwards.
+            missing_input = [
+                piece
+                for piece in accepted
+                if _is_input_missing(piece, instances)
+            ]
             read_bytes = sum(
-                holds[handle.partition('/')[0]].get_bytes(handle)
+                instances[handle.partition('/')[0]].get_bytes(handle)
                 for piece in accepted
                 for handle in piece.inputs
             )
@@ -109,36 +113,39 @@
             await asyncio.sleep(work_ms / _MILLISECONDS)
         if self.is_lost:
             raise InstanceLost(self.name)
-        return tuple(self._finish(piece, accepted, gone) for piece in pieces)
+        return tuple(
+            self._make_result(piece, accepted, missing_input)
+            for piece in pieces
+        )
 
-    def is_working(self) -> bool | None:
-        """Tell whether it has any call in hand; None when it is lost."""
-        return None if self.is_lost else self._turn.locked()
+    def is_busy(self) -> bool | None:
+        """Return whether a call is in progress; None if lost."""
+        return None if self.is_lost else self._work_lock.locked()
 
-    def free(self, handle: str) -> None:
-        """Give a result up."""
-        self._kept.pop(handle, None)
+    def release(self, handle: str) -> None:
+        """Release a stored result."""
+        self._results.pop(handle, None)
 
     def get_bytes(self, handle: str) -> int:
-        """Return the size of a result; 0 when it is gone."""
-        kept = self._kept.get(handle)
-        return 0 if kept is None else kept.result_bytes
+        """Return the size of a result; 0 if it is not stored."""
+        stored = self._results.get(handle)
+        return 0 if stored is None else stored.result_bytes
 
-    def lose(self) -> None:
-        """Go, with all results."""
+    def mark_lost(self) -> None:
+        """Mark the instance as lost and drop all its results."""
         self.is_lost = True
-        self._kept.clear()
+        self._results.clear()
 
-    def return_(self) -> None:
-        """Be back, empty."""
+    def restore(self) -> None:
+        """Return the instance to service, without results."""
         self.is_lost = False
 
     def _reserve(self, pieces: tuple[Piece, ...]) -> list[Piece]:
         now_ms = _get_ms()
-        for handle, kept in tuple(self._kept.items()):
-            if kept.until_ms <= now_ms:
-                self._kept.pop(handle)
-        used = sum(kept.result_bytes for kept in self._kept.values())
+        for handle, stored in tuple(self._results.items()):
+            if stored.expires_ms <= now_ms:
+                self._results.pop(handle)
+        used = sum(stored.result_bytes for stored in self._results.values())
         accepted = []
         for piece in pieces:
             if used + piece.result_bytes <= self._sheet.room_bytes:
@@ -146,30 +153,32 @@
                 accepted.append(piece)
         return accepted
 
-    def _finish(
+    def _make_result(
         self,
         piece: Piece,
         accepted: list[Piece],
-        gone: list[Piece],
+        missing_input: list[Piece],
     ) -> PieceResult:
-        if not any(piece is one for one in accepted):
+        if not any(piece is candidate for candidate in accepted):
             return PieceResult(outcome=PieceOutcome.no_room)
-        if any(piece is one for one in gone):
+        if any(piece is candidate for candidate in missing_input):
             return PieceResult(outcome=PieceOutcome.input_gone)
-        if self._rng.random() < _FAILING_SHARE:
+        if self._rng.random() < _FAILURE_SHARE:
             return PieceResult(outcome=PieceOutcome.failed)
-        self.pieces_made += 1
+        self.pieces_completed += 1
         handle = f'{self.name}/{next(self._numbers)}'
-        self._kept[handle] = _Kept(
+        self._results[handle] = _StoredResult(
             result_bytes=piece.result_bytes,
-            until_ms=_get_ms() + self._sheet.kept_ms,
+            expires_ms=_get_ms() + self._sheet.kept_ms,
         )
         return PieceResult(outcome=PieceOutcome.done, handle=handle)
 
 
-def _is_gone(piece: Piece, holds: Mapping[str, StageInstance]) -> bool:
+def _is_input_missing(
+    piece: Piece, instances: Mapping[str, StageInstance]
+) -> bool:
     return not all(
-        holds[handle.partition('/')[0]].get_bytes(handle)
+        instances[handle.partition('/')[0]].get_bytes(handle)
         for handle in piece.inputs
     )
 
--- a/measure/fleet_model/tables.py
+++ b/measure/fleet_model/tables.py
@@ -1,4 +1,4 @@
-"""Make the configuration of a deployment that is modelled."""
+"""Build the configuration of a simulated deployment."""
 
 from measure.fleet_model.gateway import ENGINES
 from measure.fleet_model.load_sheet import LoadSheet
@@ -13,14 +13,14 @@
 )
 
 
-def make_table(sheet: LoadSheet) -> RouteTable:
+def make_route_table(sheet: LoadSheet) -> RouteTable:
     """
-    Make the route table that gateways go by.
+    Return the route table of the gateways.
 
     Parameters
     ----------
     sheet : LoadSheet
-        Kinds become routes `/KIND/` of the host `model`.
+        Deployment; each kind becomes a route `/KIND/` of the host `model`.
     """
     return RouteTable(
         version=1,
--- a/measure/fleet_model/virtual_time.py
+++ b/measure/fleet_model/virtual_time.py
@@ -1,4 +1,4 @@
-"""Run coroutines in virtual time: a wait takes no time and is exact."""
+"""Run coroutines in virtual time: waits are instantaneous and exact."""
 
 import asyncio
 import selectors
@@ -9,8 +9,8 @@
 _MILLISECONDS = 1000
 
 
-class _SkippingSelector(selectors.DefaultSelector):
-    """Let time jump to the next timer instead of waiting for it."""
+class _VirtualTimeSelector(selectors.DefaultSelector):
+    """Advance virtual time to the next timer instead of waiting."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -23,23 +23,23 @@
 
 
 class VirtualLoop(asyncio.SelectorEventLoop):
-    """Be an event loop whose clock jumps from timer to timer."""
+    """Event loop whose clock jumps from timer to timer."""
 
     def __init__(self) -> None:
-        self._skipping = _SkippingSelector()
-        super().__init__(self._skipping)
+        self._virtual_selector = _VirtualTimeSelector()
+        super().__init__(self._virtual_selector)
 
     def time(self) -> float:
-        """Return virtual seconds."""
-        return self._skipping.now_s
+        """Return the virtual time in seconds."""
+        return self._virtual_selector.now_s
 
     def get_ms(self) -> float:
-        """Return virtual milliseconds."""
-        return self._skipping.now_s * _MILLISECONDS
+        """Return the virtual time in milliseconds."""
+        return self._virtual_selector.now_s * _MILLISECONDS
 
 
 def run_virtually(coroutine: Coroutine[None, None, Found]) -> Found:
-    """Run a coroutine to its end on a loop of its own."""
+    """Run a coroutine to completion on a new virtual-time loop."""
     loop = VirtualLoop()
     try:
         return loop.run_until_complete(coroutine)
