--- a/measure/fleet_model/__main__.py
+++ b/measure/fleet_model/__main__.py
@@ -69,7 +69,7 @@
             reports = simulate_all(trials, jobs)
             rows.append(
                 TableRow(
-                    name=f'{pattern}, {way}',
+                    name=f'{pattern}, {strategy}',
                     attained=get_mean(reports),
                     reports=reports,
                 ),
@@ -126,7 +126,7 @@
     seed: int = 1,
     out: Path = _OUT,
 ):
-    """Plot attainment, latency and pool utilization of one day."""
+    """Plot attainment, latency and pool utilisation of one day."""
     day = play_records(Trial(load=load, pattern=pattern, seed=seed))
     path = out / f'{load}-{pattern}-{seed}.png'
     out.mkdir(exist_ok=True)
--- a/measure/fleet_model/bound.py
+++ b/measure/fleet_model/bound.py
@@ -172,10 +172,10 @@
         for position in positions
     )
     preceding_ms = min(
-        _get_min_preceding_ms(sheet, kind, position) for position in positions
+        _get_min_preceding_ms(sheet, kind, index) for index in positions
     )
     following_ms = min(
-        _get_min_following_ms(sheet, kind, position) for position in positions
+        _get_min_following_ms(sheet, kind, index) for index in positions
     )
     return _Job(
         earliest_ms=arrival.at_ms + preceding_ms,
--- a/measure/fleet_model/day.py
+++ b/measure/fleet_model/day.py
@@ -15,7 +15,7 @@
     PoolReport,
     RequestRecord,
     sum_attained,
-    summarize_kinds,
+    summarise_kinds,
 )
 from measure.fleet_model.patterns import DAY_DURATION_MS
 from measure.fleet_model.stage_instance import StageInstance
@@ -79,7 +79,7 @@
         return self._make_report()
 
     def get_busy_ms(self, pool: str, step_ms: float) -> list[float]:
-        """Return the busy time of a pool, summed over instances, by time step."""
+        """Return the total busy time of a pool by time step."""
         steps = [0.0 for _ in range(int(self._duration_ms // step_ms))]
         for name, instance in self._network.stages.items():
             if name.rpartition('-')[0] != pool:
@@ -179,7 +179,7 @@
         self._add_gateways()
 
     def _find_busiest_host(self) -> str:
-        """Return the gateway that hosts the scheduler of the first pool."""
+        """Return the host of the pool that most kinds need first."""
         first_gateway = self._network.gateways['gateway-0']
         host = first_gateway.members.find_host(next(iter(self.sheet.pools)))
         return first_gateway.name if host is None else host.instance
@@ -239,9 +239,9 @@
     def _make_report(self) -> DayReport:
         return DayReport(
             attained=sum_attained(self.sheet, self.records),
-            kinds=summarize_kinds(self.sheet, self.records),
+            kinds=summarise_kinds(self.sheet, self.records),
             pools={
-                pool: self._summarize_pool(pool) for pool in self.sheet.pools
+                pool: self._summarise_pool(pool) for pool in self.sheet.pools
             },
             tokens_read=sum(
                 engine.uncached_shared_tokens
@@ -249,7 +249,7 @@
             ),
         )
 
-    def _summarize_pool(self, pool: str) -> PoolReport:
+    def _summarise_pool(self, pool: str) -> PoolReport:
         instances = [
             instance
             for name, instance in self._network.stages.items()
--- a/measure/fleet_model/experiment.py
+++ b/measure/fleet_model/experiment.py
@@ -129,8 +129,8 @@
         if not hasattr(global_settings, setting.name):
             raise ValueError(f'unknown setting: {setting.name}')
     previous = {
-        setting.name: getattr(global_settings, setting.name)
-        for setting in settings
+        override.name: getattr(global_settings, override.name)
+        for override in settings
     }
     for setting in settings:
         setattr(global_settings, setting.name, setting.value)
--- a/measure/fleet_model/hosting.py
+++ b/measure/fleet_model/hosting.py
@@ -13,7 +13,7 @@
     ----------
     pool
         One gateway, chosen by rendezvous hashing, hosts the scheduler of a
-        pool; this is the production behavior.
+        pool; this is the production behaviour.
     domain
         One gateway in each failure domain hosts a scheduler of the pool: a
         call contains pieces of requests from a single domain only.
--- a/measure/fleet_model/load_sheet.py
+++ b/measure/fleet_model/load_sheet.py
@@ -233,7 +233,7 @@
 @dataclass(frozen=True, kw_only=True, slots=True)
 class GatewayFault:
     """
-    Describe a fault of a gateway.
+    Describe a fault of the busiest host, or of all gateways.
 
     Attributes
     ----------
--- a/measure/fleet_model/outcome.py
+++ b/measure/fleet_model/outcome.py
@@ -45,7 +45,7 @@
 
 
 class KindReport(Message):
-    """Summarize a kind of requests, as fractions of its requests."""
+    """Summarise a kind of requests, as fractions of its requests."""
 
     requests: int
     in_time: float
@@ -57,7 +57,7 @@
 
 
 class PoolReport(Message):
-    """Summarize a stage pool: utilization and completed pieces."""
+    """Summarise a stage pool: utilisation and completed pieces."""
 
     busy: float
     pieces: int
@@ -65,7 +65,7 @@
 
 class DayReport(Message):
     """
-    Summarize a day.
+    Summarise a day.
 
     Attributes
     ----------
@@ -111,13 +111,13 @@
     )
 
 
-def summarize_kinds(
+def summarise_kinds(
     sheet: LoadSheet,
     records: list[RequestRecord],
 ) -> dict[str, KindReport]:
     """Return a report for each kind of request."""
     return {
-        kind: _summarize_kind(
+        kind: _summarise_kind(
             sheet,
             [record for record in records if record.arrival.kind == kind],
         )
@@ -125,7 +125,7 @@
     }
 
 
-def _summarize_kind(
+def _summarise_kind(
     sheet: LoadSheet, records: list[RequestRecord]
 ) -> KindReport:
     latencies_ms = sorted(
--- a/measure/fleet_model/pictures.py
+++ b/measure/fleet_model/pictures.py
@@ -13,7 +13,7 @@
 
 def draw_day(day: Day, path: Path) -> None:
     """
-    Plot attainment, time to the first event and pool utilization of a day.
+    Plot attainment, time to the first event and pool utilisation of a day.
 
     Parameters
     ----------
--- a/measure/fleet_model/rows.py
+++ b/measure/fleet_model/rows.py
@@ -20,7 +20,7 @@
 
 
 def print_rows(rows: Sequence[TableRow]) -> None:
-    """Print a table of outcomes by kind and utilization by pool."""
+    """Print a table of outcomes by kind and utilisation by pool."""
     table = Table()
     table.add_column('days')
     table.add_column('attained')
--- a/measure/fleet_model/stage_instance.py
+++ b/measure/fleet_model/stage_instance.py
@@ -92,14 +92,15 @@
         async with self._work_lock:
             accepted = self._reserve(pieces)
             work_ms = self._sheet.call_ms + sum(
-                self._sheet.piece_ms * self._work_shares[piece.result_bytes]
-                for piece in accepted
+                self._sheet.piece_ms
+                * self._work_shares[accepted_piece.result_bytes]
+                for accepted_piece in accepted
             )
             # Inputs are read when the call starts and not needed afterwards.
             missing_input = [
-                piece
-                for piece in accepted
-                if _is_input_missing(piece, instances)
+                accepted_piece
+                for accepted_piece in accepted
+                if _is_input_missing(accepted_piece, instances)
             ]
             read_bytes = sum(
                 instances[handle.partition('/')[0]].get_bytes(handle)
