--- a/measure/fleet_model/bound.py
+++ b/measure/fleet_model/bound.py
@@ -239,7 +239,7 @@
 
 
 def _find_feasible_fraction(accepted: list[_Job], job: _Job) -> float:
-    """Return the largest fraction of a job that fits with the accepted."""
+    """Return the largest fraction of a job that fits beside accepted jobs."""
     if _fits(accepted, job):
         return 1
     low: float = 0
@@ -280,8 +280,8 @@
         if not ready:
             now = max(now, pending[0].earliest_ms)
         while pending and pending[0].earliest_ms <= now:
-            started = pending.popleft()
-            heappush(ready, (started.deadline_ms, started.work_ms))
+            arrived = pending.popleft()
+            heappush(ready, (arrived.deadline_ms, arrived.work_ms))
         deadline, remaining = heappop(ready)
         until = min(
             now + remaining,
--- a/measure/fleet_model/hosting.py
+++ b/measure/fleet_model/hosting.py
@@ -28,8 +28,8 @@
 
 
 def set_gateway_members(hosting: Hosting, network: Network) -> None:
-    """Set the members of each gateway to those that share schedulers."""
-    members = [member.make_member() for member in network.gateways.values()]
+    """Set the members of each gateway to those that share its schedulers."""
+    members = [peer.make_member() for peer in network.gateways.values()]
     for gateway in network.gateways.values():
         own = gateway.make_member()
         if hosting is Hosting.pool:
