--- a/measure/fleet_model/hosting.py
+++ b/measure/fleet_model/hosting.py
@@ -36,9 +36,9 @@
             gateway.members.replace(members)
         elif hosting is Hosting.domain:
             gateway.members.replace(
-                member
-                for member in members
-                if member.failure_domain == own.failure_domain
+                peer
+                for peer in members
+                if peer.failure_domain == own.failure_domain
             )
         else:
             gateway.members.replace([own])
