--- a/measure/fleet_model/__main__.py
+++ b/measure/fleet_model/__main__.py
@@ -9,11 +9,11 @@
 from measure.fleet_model.experiment import (
     Setting,
     Trial,
-    compute_trial_bounds,
+    bound_all,
     get_mean,
+    play_all,
     play_records,
     read_load,
-    simulate_all,
 )
 from measure.fleet_model.hosting import Hosting
 from measure.fleet_model.patterns import make_patterns
@@ -45,8 +45,8 @@
     rows = []
     for pattern in make_patterns(read_load(load)):
         trials = _make_trials(load, pattern, seeds)
-        reports = simulate_all(trials, jobs)
-        bounds = compute_trial_bounds(trials, jobs)
+        reports = play_all(trials, jobs)
+        bounds = bound_all(trials, jobs)
         rows.append(
             TableRow(
                 name=pattern,
@@ -66,7 +66,7 @@
     for pattern in patterns:
         for strategy in Hosting:
             trials = _make_trials(load, pattern, seeds, strategy)
-            reports = simulate_all(trials, jobs)
+            reports = play_all(trials, jobs)
             rows.append(
                 TableRow(
                     name=f'{pattern}, {strategy}',
@@ -108,7 +108,7 @@
                 settings=(setting,),
             )
         ]
-        reports = simulate_all(trials, jobs)
+        reports = play_all(trials, jobs)
         rows.append(
             TableRow(
                 name=f'{name}={number:g}',
--- a/measure/fleet_model/experiment.py
+++ b/measure/fleet_model/experiment.py
@@ -70,7 +70,7 @@
     return msgspec.convert(yaml.safe_load(text), LoadSheet)
 
 
-def simulate_all(trials: Sequence[Trial], jobs: int) -> list[DayReport]:
+def play_all(trials: Sequence[Trial], jobs: int) -> list[DayReport]:
     """Simulate trials in a pool of `jobs` worker processes."""
     with ProcessPoolExecutor(jobs) as pool:
         return list(pool.map(simulate, trials))
@@ -100,7 +100,7 @@
     )
 
 
-def compute_trial_bounds(trials: Sequence[Trial], jobs: int) -> list[float]:
+def bound_all(trials: Sequence[Trial], jobs: int) -> list[float]:
     """Compute the bounds of trials in a pool of `jobs` worker processes."""
     with ProcessPoolExecutor(jobs) as pool:
         return list(pool.map(compute_trial_bound, trials))
