--- a/measure/fleet_model/load_sheet.py
+++ b/measure/fleet_model/load_sheet.py
@@ -50,7 +50,7 @@
     Attributes
     ----------
     instances : int
-        How many.
+        Number of instances.
     slots : int
         Maximum number of concurrent requests on an engine.
     prompt_tokens_per_ms : float
@@ -146,7 +146,7 @@
     Attributes
     ----------
     gateways : int
-        How many.
+        Number of gateways.
     failure_domains : tuple of str
         Failure domains, assigned to gateways and instances round robin.
     one_way_ms : float
