--- a/measure/quarantine_model/__init__.py
+++ b/measure/quarantine_model/__init__.py
@@ -1,1 +1,1 @@
-"""Model requests that crash the engines that run them, in virtual time."""
+"""Simulate requests that crash the engines that run them, in virtual time."""
--- a/measure/quarantine_model/__main__.py
+++ b/measure/quarantine_model/__main__.py
@@ -1,4 +1,4 @@
-"""Compare limits of crashes from which a request is quarantined."""
+"""Compare crash limits at which a request is quarantined."""
 
 import dataclasses
 import sys
@@ -8,7 +8,7 @@
 from measure.quarantine_model.scenario import Scenario
 
 _SEEDS = range(20)
-_LIMITS = (0, 1, 2, 3)
+_CRASH_LIMITS = (0, 1, 2, 3)
 _COLUMNS = (
     'crashes',
     'harmful runs',
@@ -34,22 +34,24 @@
 
 
 def main() -> None:
-    """Print the mean counts of each scenario and limit."""
+    """Print the mean counts for each scenario and crash limit."""
     write = sys.stdout.write
     write(f'{"scenario":32}{"limit":>6}')
     write(''.join(f'{name:>17}' for name in _COLUMNS) + '\n')
     for name, scenario in _SCENARIOS.items():
-        for limit in _LIMITS:
-            counts = _play(dataclasses.replace(scenario, crash_limit=limit))
+        for limit in _CRASH_LIMITS:
+            counts = _run_scenario(
+                dataclasses.replace(scenario, crash_limit=limit)
+            )
             write(f'{name:32}{limit or "none":>6}')
             write(''.join(f'{counts[key]:17.1f}' for key in _COLUMNS) + '\n')
 
 
-def _play(scenario: Scenario) -> dict[str, float]:
-    total: Counter[str] = Counter()
+def _run_scenario(scenario: Scenario) -> dict[str, float]:
+    totals: Counter[str] = Counter()
     for seed in _SEEDS:
-        total.update(CrashModel(scenario=scenario, seed=seed).play())
-    return {key: total[key] / len(_SEEDS) for key in _COLUMNS}
+        totals.update(CrashModel(scenario=scenario, seed=seed).play())
+    return {key: totals[key] / len(_SEEDS) for key in _COLUMNS}
 
 
 if __name__ == '__main__':
--- a/measure/replica_fleet/__init__.py
+++ b/measure/replica_fleet/__init__.py
@@ -1,1 +1,1 @@
-"""Play in virtual time how a fleet of gateways follows the store."""
+"""Simulate a fleet of gateways that poll the store, in virtual time."""
--- a/measure/replica_fleet/__main__.py
+++ b/measure/replica_fleet/__main__.py
@@ -1,4 +1,4 @@
-"""Compare ways to follow the store: `python -m measure.replica_fleet`."""
+"""Compare sources of store updates: `python -m measure.replica_fleet`."""
 
 from dataclasses import replace
 
@@ -6,29 +6,31 @@
 from measure.replica_fleet.fleet_plan import FleetPlan, Trouble
 from measure.replica_fleet.troubles import PATTERNS
 
-_SIZES = (4, 25, 68, 300)
+_FLEET_SIZES = (4, 25, 68, 300)
 _SOURCES = ('none', 'domains', 'hosts')
 _CHANGES_MS = tuple(range(4000, 14_000, 617))
 _END_MS = 18_000
 
 
-def _find_others(plan: FleetPlan) -> list[int]:
-    """Return the gateways that no trouble befalls."""
-    befallen = frozenset().union(*(one.gateways for one in plan.troubles))
-    return [one for one in range(plan.gateways) if one not in befallen]
+def _find_unaffected_gateways(plan: FleetPlan) -> list[int]:
+    """Return the gateways without any injected fault."""
+    faulty = frozenset().union(*(trouble.gateways for trouble in plan.troubles))
+    return [number for number in range(plan.gateways) if number not in faulty]
 
 
-def _clip(trouble: Trouble, gateways: int) -> Trouble:
-    """Leave at least one gateway in peace."""
-    kept = frozenset(one for one in trouble.gateways if one < gateways - 1)
-    return replace(trouble, gateways=kept)
+def _spare_last_gateway(trouble: Trouble, gateways: int) -> Trouble:
+    """Exclude the last gateway so that at least one has no fault."""
+    affected = frozenset(
+        number for number in trouble.gateways if number < gateways - 1
+    )
+    return replace(trouble, gateways=affected)
 
 
 def main() -> None:
-    """Print calls a second and the longest time until a change is seen."""
+    """Print store calls per second and the longest propagation delay."""
     print('pattern', 'gateways', 'asked', 'calls/s', 'worst ms', 'asked/s')
     for name, changes in PATTERNS.items():
-        for gateways in _SIZES:
+        for gateways in _FLEET_SIZES:
             for sources in _SOURCES:
                 plan = FleetPlan(
                     gateways=gateways,
@@ -37,7 +39,10 @@
                     end_ms=_END_MS,
                 )
                 plan = replace(plan, **changes)
-                troubles = (_clip(one, gateways) for one in plan.troubles)
+                troubles = (
+                    _spare_last_gateway(trouble, gateways)
+                    for trouble in plan.troubles
+                )
                 plan = replace(plan, troubles=tuple(troubles))
                 outcome = play(plan)
                 print(
@@ -45,8 +50,10 @@
                     gateways,
                     sources,
                     round(outcome.calls_per_s, 1),
-                    round(outcome.find_worst_ms(_find_others(plan))),
-                    round(outcome.busiest_asked_per_s),
+                    round(
+                        outcome.find_worst_ms(_find_unaffected_gateways(plan))
+                    ),
+                    round(outcome.max_queries_per_s),
                     flush=True,
                 )
 
--- a/measure/replica_fleet/fleet_plan.py
+++ b/measure/replica_fleet/fleet_plan.py
@@ -1,4 +1,4 @@
-"""Define what is played."""
+"""Define the configuration of a fleet simulation."""
 
 from dataclasses import dataclass, field
 
@@ -6,17 +6,17 @@
 @dataclass(frozen=True, kw_only=True, slots=True)
 class Trouble:
     """
-    Befall some gateways for a while.
+    Inject a fault into some gateways for a limited time.
 
     Attributes
     ----------
     kind : str
-        `cut` from everything, `frozen`, `refused` by the store or `slow`
-        answers of the store.
+        `cut` (no network), `frozen` (process suspended), `refused` (the store
+        refuses its calls) or `slow` (the store responds slowly).
     start_ms, end_ms : int
-        When it holds.
+        Start (inclusive) and end (exclusive) of the fault, in milliseconds.
     gateways : frozenset of int
-        Whom it befalls, by number.
+        Numbers of the affected gateways.
     """
 
     kind: str
@@ -28,31 +28,33 @@
 @dataclass(frozen=True, kw_only=True, slots=True)
 class FleetPlan:
     """
-    Describe a fleet and what befalls it.
+    Configure a fleet, its load and the injected faults.
 
     Attributes
     ----------
     gateways : int
-        How many there are.
+        Number of gateways.
     sources : str
-        Whom gateways ask: `none`, `hosts` (the same few for all) or
-        `domains` (two of their own failure domain).
+        Gateways that the others ping for updates: `none`, `hosts` (the same
+        few for all) or `domains` (two of their own failure domain).
     bound_ms : int
-        In which a change has to be in force.
+        Time within which a change has to be active at every gateway, in
+        milliseconds.
     heartbeat_ms : int
-        Of instances.
+        Interval of the heartbeats of instances, in milliseconds.
     changes_ms : tuple of int
-        When a key of the store is written.
+        Times at which a key of the store is written, in milliseconds.
     change_bytes : int
-        Size of each value that is written.
+        Size of each written value, in bytes.
     bytes_per_s : float
-        What the link of each gateway carries from the store.
+        Bandwidth of the link from the store to each gateway.
     troubles : tuple of Trouble
-        What befalls whom.
+        Faults to inject into gateways.
     store_moves : tuple of tuple of int and str
-        What befalls the store, and when: methods of its stand-in.
+        Faults to inject into the store: time in milliseconds and name of the
+        `StoreSession` method to call.
     end_ms : int
-        When the play ends.
+        End of the simulation, in milliseconds.
     """
 
     gateways: int
--- a/measure/replica_fleet/model_gateway.py
+++ b/measure/replica_fleet/model_gateway.py
@@ -1,4 +1,4 @@
-"""Model a gateway as far as it follows the store."""
+"""Model the store polling of a gateway."""
 
 import asyncio
 import random
@@ -20,22 +20,22 @@
 
 class ModelGateway:
     """
-    Follow the store with the code that serves, and note what is seen when.
+    Poll the store with the production code and record when changes are seen.
 
     Parameters
     ----------
     number : int
-        Which one it is.
+        Number of the gateway in the fleet.
     link : StoreLink
-        Its way to the store.
-    paces : PollIntervals
-        How old evidence may grow.
+        Link to the store.
+    intervals : PollIntervals
+        Poll intervals, which bound how stale the state may become.
     find_sources : callable
-        Tells whom it asks, in the order in which these read.
-    ask : callable
-        Asks another gateway.
+        Returns the gateways to ping, in the order of their reader ranks.
+    query : callable
+        Queries another gateway for an update.
     rng : Random
-        For what is left to chance.
+        Source of randomness.
     """
 
     def __init__(
@@ -43,104 +43,109 @@
         *,
         number: int,
         link: StoreLink,
-        paces: PollIntervals,
+        intervals: PollIntervals,
         find_sources: Callable[[], Sequence['ModelGateway']],
-        ask: Callable,
+        query: Callable,
         rng: random.Random,
     ) -> None:
         self.number = number
         self.link = link
         self.seen_ms: dict[int, float] = {}
         self.replica = Replica()
-        self.asked = 0
+        self.received_queries = 0
         self.largest_answer_bytes = 0
         self._find_sources = find_sources
-        self._ask = ask
+        self._query = query
         self._rng = rng
-        self._silent: set[int] = set()
-        self._highest = 0
+        self._unresponsive: set[int] = set()
+        self._max_revision = 0
         self.went_back = False
-        self.follower = StorePoller(
+        self.poller = StorePoller(
             context=SimpleNamespace(
                 store=StoreClient(session=link, base_url='http://store'),
                 metrics=Metrics(),
             ),
             subscribers=(self,),
             replica=self.replica,
-            intervals=paces,
-            get_reader_rank=self._get_place,
-            ask_peers=self._ask_peers,
+            intervals=intervals,
+            get_reader_rank=self._get_reader_rank,
+            ask_peers=self._query_peers,
             jitter=rng.uniform(0, global_settings.STALENESS_JITTER),
         )
 
-    def apply_entries(self, found: Mapping, _proved_ms: float) -> None:
-        """Note what is seen for the first time."""
+    def apply_entries(self, entries: Mapping, _sent_ms: float) -> None:
+        """Record the time at which each revision is first seen."""
         now_ms = asyncio.get_running_loop().time() * _MILLISECONDS
-        newest = max((one.mod_revision for one in found.values()), default=0)
-        self.went_back |= newest < self._highest
-        self._highest = max(self._highest, newest)
-        for one in found.values():
-            self.seen_ms.setdefault(one.mod_revision, now_ms)
-
-    def note_answer(self, size_bytes: int) -> None:
-        """Note the size of an answer to a ping."""
+        newest = max(
+            (entry.mod_revision for entry in entries.values()),
+            default=0,
+        )
+        self.went_back |= newest < self._max_revision
+        self._max_revision = max(self._max_revision, newest)
+        for entry in entries.values():
+            self.seen_ms.setdefault(entry.mod_revision, now_ms)
+
+    def record_response_size(self, size_bytes: int) -> None:
+        """Record the size of a ping response."""
         self.largest_answer_bytes = max(self.largest_answer_bytes, size_bytes)
 
     def handle_store_unavailable(self, _detail: str) -> None:
-        """Go on."""
+        """Ignore the outage."""
 
     async def run(self) -> None:
-        """Follow the store and ask others until cancelled."""
-        await asyncio.gather(self.follower.run(), self._ask_forever())
+        """Poll the store and ping the sources until cancelled."""
+        await asyncio.gather(self.poller.run(), self._ping_sources())
 
-    async def _ask_forever(self) -> None:
-        pause_s = global_settings.HOST_PING_MS / _MILLISECONDS
-        await asyncio.sleep(self._rng.uniform(0, pause_s))
+    async def _ping_sources(self) -> None:
+        interval_s = global_settings.HOST_PING_MS / _MILLISECONDS
+        await asyncio.sleep(self._rng.uniform(0, interval_s))
         while True:
-            await asyncio.sleep(pause_s)
-            others = [one for one in self._find_sources() if one is not self]
-            await asyncio.gather(*map(self._hear, others))
-
-    async def _hear(self, other: 'ModelGateway') -> None:
-        asked_ms = get_boottime_ms()
-        news = await self._ask(
+            await asyncio.sleep(interval_s)
+            others = [
+                source for source in self._find_sources() if source is not self
+            ]
+            await asyncio.gather(*map(self._ping, others))
+
+    async def _ping(self, other: 'ModelGateway') -> None:
+        sent_ms = get_boottime_ms()
+        update = await self._query(
             self,
             other,
-            longest_bytes=global_settings.MAX_PING_UPDATE_BYTES,
+            max_bytes=global_settings.MAX_PING_UPDATE_BYTES,
         )
-        if news is None:
-            self._silent.add(other.number)
+        if update is None:
+            self._unresponsive.add(other.number)
             return
-        self._silent.discard(other.number)
-        self.follower.apply_update(news, asked_ms)
+        self._unresponsive.discard(other.number)
+        self.poller.apply_update(update, sent_ms)
 
-    async def _ask_peers(self, _after: StorePosition) -> list[ReceivedUpdate]:
-        others = [one for one in self.peers if one is not self]
+    async def _query_peers(self, _after: StorePosition) -> list[ReceivedUpdate]:
+        others = [peer for peer in self.peers if peer is not self]
         count = min(len(others), global_settings.UPDATE_PEERS_QUERIED)
-        asked_ms = get_boottime_ms()
-        answers = await asyncio.gather(
+        sent_ms = get_boottime_ms()
+        updates = await asyncio.gather(
             *(
-                self._ask(self, one, longest_bytes=float('inf'))
-                for one in self._rng.sample(others, count)
+                self._query(self, peer, max_bytes=float('inf'))
+                for peer in self._rng.sample(others, count)
             ),
         )
         return [
-            ReceivedUpdate(update=one, sent_ms=asked_ms)
-            for one in answers
-            if one is not None
+            ReceivedUpdate(update=update, sent_ms=sent_ms)
+            for update in updates
+            if update is not None
         ]
 
-    def _get_place(self) -> int | None:
+    def _get_reader_rank(self) -> int | None:
         sources = [
-            one
-            for one in self._find_sources()
-            if one is self or one.number not in self._silent
+            source
+            for source in self._find_sources()
+            if source is self or source.number not in self._unresponsive
         ]
         return sources.index(self) if self in sources else None
 
     @property
     def peers(self) -> Sequence['ModelGateway']:
-        """Return all gateways, by what the fleet set."""
+        """Return all gateways of the fleet, as set by the fleet."""
         return self._peers
 
     @peers.setter
