--- a/measure/quarantine_model/model.py
+++ b/measure/quarantine_model/model.py
@@ -1,4 +1,4 @@
-"""Play requests, crashes and what gateways tell each other of them."""
+"""Simulate requests, crashes and the evidence that gateways exchange."""
 
 import heapq
 import itertools
@@ -12,50 +12,50 @@
 from ragworthollow.quarantine import CrashRegistry, EvidenceExchange
 
 _CRASH_AFTER_MS = 100
-_RUN_MS = (300, 3_000)
-_DOWN_MS = 3_000
-_RETURN_MS = (200, 600)
-_MESSAGE_MS = 2
-_NEVER = 10**6
-_TERM_MS = global_settings.QUARANTINE_MS
+_RUN_TIME_MS = (300, 3_000)
+_RESTART_MS = 3_000
+_CALLER_RETRY_MS = (200, 600)
+_MESSAGE_DELAY_MS = 2
+_NO_CRASH_LIMIT = 10**6
+_QUARANTINE_MS = global_settings.QUARANTINE_MS
 _HARMFUL = 'harmful'
 
 
 @dataclass(kw_only=True, eq=False)
-class _Run:
-    """Hold one attempt at an engine."""
+class _Attempt:
+    """Represent one attempt of a request at an engine."""
 
     fingerprint: str
     gateway: int
     is_resumable: bool
-    is_return: bool
-    attempts: int = 1
+    is_caller_retry: bool
+    attempt_number: int = 1
     is_ended: bool = False
 
 
 @dataclass(kw_only=True)
 class _Engine:
-    """Hold one engine and what runs there, in the order of its start."""
+    """Represent one engine and its attempts, in start order."""
 
     number: int
-    starts: int = 0
-    back_ms: float = 0
-    running: dict[_Run, None] = field(default_factory=dict)
+    restarts: int = 0
+    available_ms: float = 0
+    running: dict[_Attempt, None] = field(default_factory=dict)
 
     def get_incarnation(self) -> str:
-        return f'{self.number}@{self.starts}'
+        return f'{self.number}@{self.restarts}'
 
 
 class CrashModel:
     """
-    Play one scenario with one seed.
+    Simulate one scenario with one seed.
 
     Parameters
     ----------
     scenario : Scenario
-        What is played.
+        Scenario to simulate.
     seed : int
-        Of all chance in it.
+        Seed of the random number generator.
     """
 
     def __init__(self, *, scenario: Scenario, seed: int) -> None:
@@ -63,68 +63,72 @@
         self._scenario = scenario
         self._rng = random.Random(seed)
         self._now_ms: float = 0
-        self._order = itertools.count()
+        self._sequence = itertools.count()
         self._events: list[tuple[float, int, Callable[[], None]]] = []
         self._engines = [
             _Engine(number=number) for number in range(scenario.engines)
         ]
-        self._ledgers = [
+        self._registries = [
             CrashRegistry(
-                crash_limit=scenario.crash_limit or _NEVER,
-                quarantine_ms=_TERM_MS,
+                crash_limit=scenario.crash_limit or _NO_CRASH_LIMIT,
+                quarantine_ms=_QUARANTINE_MS,
             )
             for _ in range(scenario.gateways)
         ]
         self._exchanges = [
             EvidenceExchange(
                 incarnation=str(number),
-                registry=ledger,
+                registry=registry,
                 on_quarantine=lambda _: None,
             )
-            for number, ledger in enumerate(self._ledgers)
+            for number, registry in enumerate(self._registries)
         ]
 
     def play(self) -> Counter[str]:
-        """Play to the end and return the counts."""
-        self._plan_traffic()
+        """Run the simulation to the end and return the counts."""
+        self._schedule_traffic()
         while self._events:
-            self._now_ms, _, act = heapq.heappop(self._events)
-            act()
+            self._now_ms, _, action = heapq.heappop(self._events)
+            action()
         return self.counts
 
-    def _at(self, at_ms: float, act: Callable[[], None]) -> None:
-        heapq.heappush(self._events, (at_ms, next(self._order), act))
+    def _schedule(self, at_ms: float, action: Callable[[], None]) -> None:
+        heapq.heappush(self._events, (at_ms, next(self._sequence), action))
 
-    def _plan_traffic(self) -> None:
+    def _schedule_traffic(self) -> None:
         scenario = self._scenario
         end_ms = scenario.length_s * 1000
         for number, at_ms in enumerate(
             self._draw_times(scenario.requests_per_s),
         ):
             is_hot = self._rng.random() < scenario.hot_share
-            run = _Run(
+            attempt = _Attempt(
                 fingerprint='hot' if is_hot else f'r{number}',
                 gateway=self._draw_gateway(),
                 is_resumable=self._rng.random() < scenario.resumable_share,
-                is_return=False,
+                is_caller_retry=False,
+            )
+            self._schedule(
+                at_ms, lambda attempt=attempt: self._start_attempt(attempt)
             )
-            self._at(at_ms, lambda run=run: self._begin(run))
         for number in range(scenario.harmful):
             for at_ms in self._draw_times(scenario.harmful_per_s):
-                run = _Run(
+                attempt = _Attempt(
                     fingerprint=f'{_HARMFUL}{number}',
                     gateway=self._draw_gateway(),
                     is_resumable=bool(number % 2),
-                    is_return=False,
+                    is_caller_retry=False,
+                )
+                self._schedule(
+                    at_ms, lambda attempt=attempt: self._start_attempt(attempt)
                 )
-                self._at(at_ms, lambda run=run: self._begin(run))
         for at_ms in self._draw_times(scenario.crashes_per_s):
-            self._at(at_ms, self._crash_any)
+            self._schedule(at_ms, self._crash_random_engine)
         for gateway in range(1, scenario.gateways):
             first_ms = self._rng.uniform(0, global_settings.HOST_PING_MS)
             pings = int((end_ms - first_ms) / global_settings.HOST_PING_MS)
             for number in range(pings):
-                self._at(
+                self._schedule(
                     first_ms + number * global_settings.HOST_PING_MS,
                     lambda gateway=gateway: self._ping(gateway),
                 )
@@ -142,110 +146,124 @@
     def _draw_gateway(self) -> int:
         return self._rng.randrange(self._scenario.gateways)
 
-    def _begin(self, run: _Run) -> None:
-        is_harmful = run.fingerprint.startswith(_HARMFUL)
-        if self._ledgers[run.gateway].get_remaining_ms(
-            run.fingerprint,
+    def _start_attempt(self, attempt: _Attempt) -> None:
+        is_harmful = attempt.fingerprint.startswith(_HARMFUL)
+        if self._registries[attempt.gateway].get_remaining_ms(
+            attempt.fingerprint,
             self._now_ms,
         ):
             self.counts['harmful quarantined' if is_harmful else 'refused'] += 1
             return
-        alive = [one for one in self._engines if one.back_ms <= self._now_ms]
-        if not alive:
+        available = [
+            engine
+            for engine in self._engines
+            if engine.available_ms <= self._now_ms
+        ]
+        if not available:
             self.counts['no engine'] += 1
             return
-        engine = self._rng.choice(alive)
-        engine.running[run] = None
+        engine = self._rng.choice(available)
+        engine.running[attempt] = None
         if is_harmful:
             self.counts['harmful runs'] += 1
-            self._at(
+            self._schedule(
                 self._now_ms + _CRASH_AFTER_MS,
-                lambda: self._crash_by(engine, run),
+                lambda: self._crash_unless_ended(engine, attempt),
             )
             return
         self.counts['harmless runs'] += 1
-        self._at(
-            self._now_ms + self._rng.uniform(*_RUN_MS),
-            lambda: self._end(engine, run),
+        self._schedule(
+            self._now_ms + self._rng.uniform(*_RUN_TIME_MS),
+            lambda: self._complete_attempt(engine, attempt),
         )
 
-    def _end(self, engine: _Engine, run: _Run) -> None:
-        if run.is_ended:
+    def _complete_attempt(self, engine: _Engine, attempt: _Attempt) -> None:
+        if attempt.is_ended:
             return
-        run.is_ended = True
-        engine.running.pop(run, None)
+        attempt.is_ended = True
+        engine.running.pop(attempt, None)
         self.counts['served'] += 1
-        self._ledgers[run.gateway].clear(run.fingerprint, self._now_ms)
+        self._registries[attempt.gateway].clear(
+            attempt.fingerprint, self._now_ms
+        )
 
-    def _crash_any(self) -> None:
+    def _crash_random_engine(self) -> None:
         self._crash(self._rng.choice(self._engines))
 
-    def _crash_by(self, engine: _Engine, run: _Run) -> None:
-        if not run.is_ended:
+    def _crash_unless_ended(self, engine: _Engine, attempt: _Attempt) -> None:
+        if not attempt.is_ended:
             self._crash(engine)
 
     def _crash(self, engine: _Engine) -> None:
-        if engine.back_ms > self._now_ms:
+        if engine.available_ms > self._now_ms:
             return
         self.counts['crashes'] += 1
         incarnation = engine.get_incarnation()
-        ended = tuple(engine.running)
+        lost = tuple(engine.running)
         engine.running.clear()
-        engine.starts += 1
-        engine.back_ms = self._now_ms + _DOWN_MS
-        for run in ended:
-            run.is_ended = True
-            self._ledgers[run.gateway].record_crash(
-                run.fingerprint,
+        engine.restarts += 1
+        engine.available_ms = self._now_ms + _RESTART_MS
+        for attempt in lost:
+            attempt.is_ended = True
+            self._registries[attempt.gateway].record_crash(
+                attempt.fingerprint,
                 incarnation,
                 self._now_ms,
             )
-        witnesses = {run.gateway for run in ended}
+        witnesses = {attempt.gateway for attempt in lost}
         for gateway in witnesses:
             self._ping(gateway)
-        for run in ended:
-            self._follow(run)
+        for attempt in lost:
+            self._retry_or_count_lost(attempt)
 
-    def _follow(self, run: _Run) -> None:
-        """Try again at once, or have the caller come back, or lose it."""
-        if not run.is_resumable:
-            self._count_lost(run)
+    def _retry_or_count_lost(self, attempt: _Attempt) -> None:
+        """Schedule a retry by the gateway or the caller, or count a loss."""
+        if not attempt.is_resumable:
+            self._count_lost(attempt)
             return
-        is_own = run.attempts == 1
-        later = _Run(
-            fingerprint=run.fingerprint,
-            gateway=run.gateway if is_own else self._draw_gateway(),
-            is_resumable=is_own or not run.is_return,
-            is_return=run.is_return or not is_own,
-            attempts=2 if is_own else 1,
+        is_gateway_retry = attempt.attempt_number == 1
+        retry = _Attempt(
+            fingerprint=attempt.fingerprint,
+            gateway=attempt.gateway
+            if is_gateway_retry
+            else self._draw_gateway(),
+            is_resumable=is_gateway_retry or not attempt.is_caller_retry,
+            is_caller_retry=attempt.is_caller_retry or not is_gateway_retry,
+            attempt_number=2 if is_gateway_retry else 1,
+        )
+        delay_ms = (
+            _MESSAGE_DELAY_MS
+            if is_gateway_retry
+            else self._rng.uniform(*_CALLER_RETRY_MS)
+        )
+        self._schedule(
+            self._now_ms + delay_ms, lambda: self._start_attempt(retry)
         )
-        pause_ms = _MESSAGE_MS if is_own else self._rng.uniform(*_RETURN_MS)
-        self._at(self._now_ms + pause_ms, lambda: self._begin(later))
 
-    def _count_lost(self, run: _Run) -> None:
-        if not run.fingerprint.startswith(_HARMFUL):
+    def _count_lost(self, attempt: _Attempt) -> None:
+        if not attempt.fingerprint.startswith(_HARMFUL):
             self.counts['lost in crashes'] += 1
 
     def _ping(self, gateway: int) -> None:
-        """Have a gateway ask the one that hosts, which is the first."""
+        """Exchange evidence with the host, which is the first gateway."""
         if not gateway:
             return
-        question = self._exchanges[gateway].make_update('0', self._now_ms)
+        request_update = self._exchanges[gateway].make_update('0', self._now_ms)
 
-        def answer() -> None:
+        def respond() -> None:
             host = self._exchanges[0]
-            if question is not None:
-                host.apply_update(str(gateway), question, self._now_ms)
-            told = host.make_update(str(gateway), self._now_ms)
-            if told is None:
+            if request_update is not None:
+                host.apply_update(str(gateway), request_update, self._now_ms)
+            response_update = host.make_update(str(gateway), self._now_ms)
+            if response_update is None:
                 return
-            self._at(
-                self._now_ms + _MESSAGE_MS,
+            self._schedule(
+                self._now_ms + _MESSAGE_DELAY_MS,
                 lambda: self._exchanges[gateway].apply_update(
                     '0',
-                    told,
+                    response_update,
                     self._now_ms,
                 ),
             )
 
-        self._at(self._now_ms + _MESSAGE_MS, answer)
+        self._schedule(self._now_ms + _MESSAGE_DELAY_MS, respond)
--- a/measure/quarantine_model/scenario.py
+++ b/measure/quarantine_model/scenario.py
@@ -1,4 +1,4 @@
-"""Define what a model of crashing requests plays."""
+"""Define the scenarios of the quarantine model."""
 
 from dataclasses import dataclass
 
@@ -6,28 +6,29 @@
 @dataclass(frozen=True, kw_only=True, slots=True)
 class Scenario:
     """
-    Describe a fleet, its traffic and what crashes it.
+    Configure a fleet, its traffic and its crashes.
 
     Attributes
     ----------
     gateways, engines : int
-        Sizes of the fleet.
+        Number of gateways and of engines.
     requests_per_s : float
-        Harmless requests.
+        Rate of harmless requests.
     hot_share : float
-        Part of these that are one and the same request.
+        Fraction of the harmless requests that are the same request.
     resumable_share : float
-        Part of these that may be tried again.
+        Fraction of the harmless requests that may be retried.
     harmful : int
-        Different requests that crash what runs them.
+        Number of distinct requests that crash the engine that runs them.
     harmful_per_s : float
-        How often the caller of each sends it.
+        Rate at which the caller of each harmful request sends it.
     crashes_per_s : float
-        Crashes of engines that no request has caused.
+        Rate of engine crashes that no request causes.
     crash_limit : int
-        Crashes from which a request is quarantined; 0 to keep none away.
+        Number of crashes at which a request is quarantined; 0 to disable
+        quarantine.
     length_s : float
-        How long harmful requests come.
+        Duration of the traffic, in seconds.
     """
 
     gateways: int = 4
--- a/measure/replica_fleet/__main__.py
+++ b/measure/replica_fleet/__main__.py
@@ -14,8 +14,8 @@
 
 def _find_unaffected_gateways(plan: FleetPlan) -> list[int]:
     """Return the gateways without any injected fault."""
-    faulty = frozenset().union(*(trouble.gateways for trouble in plan.troubles))
-    return [number for number in range(plan.gateways) if number not in faulty]
+    faulty = frozenset().union(*(one.gateways for one in plan.troubles))
+    return [one for one in range(plan.gateways) if one not in faulty]
 
 
 def _spare_last_gateway(trouble: Trouble, gateways: int) -> Trouble:
--- a/measure/replica_fleet/model_gateway.py
+++ b/measure/replica_fleet/model_gateway.py
@@ -120,19 +120,19 @@
         self.poller.apply_update(update, sent_ms)
 
     async def _query_peers(self, _after: StorePosition) -> list[ReceivedUpdate]:
-        others = [peer for peer in self.peers if peer is not self]
+        others = [one for one in self.peers if one is not self]
         count = min(len(others), global_settings.UPDATE_PEERS_QUERIED)
         sent_ms = get_boottime_ms()
         updates = await asyncio.gather(
             *(
-                self._query(self, peer, max_bytes=float('inf'))
-                for peer in self._rng.sample(others, count)
+                self._query(self, one, max_bytes=float('inf'))
+                for one in self._rng.sample(others, count)
             ),
         )
         return [
-            ReceivedUpdate(update=update, sent_ms=sent_ms)
-            for update in updates
-            if update is not None
+            ReceivedUpdate(update=one, sent_ms=sent_ms)
+            for one in updates
+            if one is not None
         ]
 
     def _get_reader_rank(self) -> int | None:
--- a/measure/replica_fleet/store_link.py
+++ b/measure/replica_fleet/store_link.py
@@ -4,7 +4,7 @@
 import contextlib
 from collections.abc import AsyncIterator, Callable
 
-from measure.replica_fleet.store_session import StoreResponse, StoreSession
+from measure.replica_fleet.store_session import Answer, StoreSession
 
 _MILLISECONDS = 1000
 _SLOW_RESPONSE_DELAY_MS = 240
@@ -42,9 +42,7 @@
         self.calls = 0
 
     @contextlib.asynccontextmanager
-    async def request(
-        self, method, url, **options
-    ) -> AsyncIterator[StoreResponse]:
+    async def request(self, method, url, **options) -> AsyncIterator[Answer]:
         """Return a response as the HTTP client does."""
         self.calls += 1
         await self._wait_until_thawed()
@@ -53,13 +51,13 @@
             await asyncio.sleep(options['timeout'].sock_read)
             raise TimeoutError
         if fault == 'refused':
-            yield StoreResponse(_REFUSED_STATUS, b'', self._bytes_per_s)
+            yield Answer(_REFUSED_STATUS, b'', self._bytes_per_s)
             return
         if fault == 'slow':
             await asyncio.sleep(_SLOW_RESPONSE_DELAY_MS / _MILLISECONDS)
         async with self._store.request(method, url, **options) as response:
             await self._wait_until_thawed()
-            yield StoreResponse(
+            yield Answer(
                 response.status,
                 response.body,
                 self._bytes_per_s,
--- a/measure/throttle_model/__init__.py
+++ b/measure/throttle_model/__init__.py
@@ -1,1 +1,1 @@
-"""Play gateways that send to throttled instances, in virtual time."""
+"""Simulate gateways that send to throttled instances, in virtual time."""
--- a/measure/throttle_model/model.py
+++ b/measure/throttle_model/model.py
@@ -1,30 +1,30 @@
-"""Play one pattern with one policy."""
+"""Simulate one pattern with one policy."""
 
 import random
 from dataclasses import dataclass
 
-from measure.throttle_model.pattern import Pattern, count_most
+from measure.throttle_model.pattern import Pattern, count_max_in_window
 from measure.throttle_model.policies import MakePolicy
 from ragworthollow.throttling import RateLimits
 
-_VIEW_MS = 50
+_VIEW_INTERVAL_MS = 50
 _WEIGHTS = (1, 2, 3, 4, 6)
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class Outcome:
     """
-    Hold what a play showed.
+    Hold the results of a simulation.
 
     Attributes
     ----------
     most : int
-        Most requests in any window at any throttled instance.
+        Maximum number of requests in any window at any throttled instance.
     served : float
-        Part of the requests that found an instance.
+        Fraction of the requests that were sent to an instance.
     used : float
-        What the throttled instances got, as a part of what they would have
-        taken.
+        Requests sent to the throttled instances, as a fraction of their
+        capacity.
     """
 
     most: int
@@ -35,20 +35,20 @@
 @dataclass(frozen=True, kw_only=True, slots=True)
 class Fleet:
     """
-    Size a model.
+    Configure the fleet of a simulation.
 
     Attributes
     ----------
     gateways, instances : int
-        Their numbers.
+        Number of gateways and of instances.
     requests_per_s : float
-        To all instances together.
+        Rate of requests to all instances together.
     span_ms : float
-        How long a play lasts.
+        Duration of the simulation.
     window_ms : float
         Length of the windows in which arrivals are counted.
     is_uneven : bool
-        Whether some gateways have several times the callers of others.
+        Whether some gateways have several times as many callers as others.
     """
 
     gateways: int
@@ -59,7 +59,7 @@
     is_uneven: bool = False
 
     def get_weights(self) -> list[float]:
-        """Return which part of the callers each gateway has."""
+        """Return the relative number of callers of each gateway."""
         weights = _WEIGHTS if self.is_uneven else (1,)
         return [
             weights[number % len(weights)] for number in range(self.gateways)
@@ -76,61 +76,64 @@
     """
     Send requests through gateways that prefer throttled instances.
 
-    These report no load, so that every gateway prefers them: the worst case
-    of a choice by reports that all gateways share.
+    Throttled instances report no load, so that every gateway prefers them.
+    This is the worst case of a choice by load reports that all gateways
+    share.
 
     Parameters
     ----------
     fleet : Fleet
-        How large it is.
+        Configuration of the fleet.
     pattern : Pattern
-        What befalls it.
+        Throttled share of the pool, and membership view of each gateway.
     make_policy : callable
-        Makes what decides at each gateway.
+        Creates the throttling policy of each gateway.
     limits : RateLimits
-        What an instance bears.
+        Limits of each instance.
     seed : int
-        Of all chance.
+        Seed of the random number generator.
     """
     rng = random.Random(seed)  # noqa: S311
     count = max(1, round(fleet.instances * pattern.throttled_share))
     throttled = [f'instance-{number}' for number in range(count)]
-    has_warm = count < fleet.instances
+    has_unthrottled = count < fleet.instances
     policies = [
         make_policy(f'gateway-{number}', limits)
         for number in range(fleet.gateways)
     ]
-    viewed_ms = {number: float('-inf') for number in range(fleet.gateways)}
+    view_updated_ms = {
+        number: float('-inf') for number in range(fleet.gateways)
+    }
     sent_ms: dict[str, list[float]] = {name: [] for name in throttled}
-    everyone = range(fleet.gateways)
+    gateway_numbers = range(fleet.gateways)
     weights = fleet.get_weights()
     served = 0
-    asked = 0
+    request_count = 0
     now_ms = rng.expovariate(fleet.requests_per_s / 1000)
     while now_ms < fleet.span_ms:
-        number = rng.choices(everyone, weights)[0]
+        number = rng.choices(gateway_numbers, weights)[0]
         policy = policies[number]
-        if now_ms - viewed_ms[number] >= _VIEW_MS:
-            viewed_ms[number] = now_ms
+        if now_ms - view_updated_ms[number] >= _VIEW_INTERVAL_MS:
+            view_updated_ms[number] = now_ms
             view = pattern.get_view(number, fleet.gateways, now_ms)
             policy.set_members([f'gateway-{one}' for one in view], now_ms)
-        # All read the same reports, and take the same one for empty.
+        # All gateways read the same reports and consider the same instance idle.
         allowed = next(
             (one for one in throttled if policy.may_send(one, now_ms)),
             '',
         )
-        asked += 1
-        served += bool(allowed or has_warm)
+        request_count += 1
+        served += bool(allowed or has_unthrottled)
         if allowed:
-            policy.note_sent(allowed, now_ms)
+            policy.record_sent(allowed, now_ms)
             sent_ms[allowed].append(now_ms)
         now_ms += rng.expovariate(fleet.requests_per_s / 1000)
-    taken = limits.requests_per_s * fleet.span_ms / 1000 * count
+    capacity = limits.requests_per_s * fleet.span_ms / 1000 * count
     return Outcome(
         most=max(
-            count_most(moments_ms, fleet.window_ms)
-            for moments_ms in sent_ms.values()
+            count_max_in_window(times_ms, fleet.window_ms)
+            for times_ms in sent_ms.values()
         ),
-        served=served / max(1, asked),
-        used=sum(map(len, sent_ms.values())) / taken,
+        served=served / max(1, request_count),
+        used=sum(map(len, sent_ms.values())) / capacity,
     )
--- a/measure/throttle_model/pattern.py
+++ b/measure/throttle_model/pattern.py
@@ -1,37 +1,38 @@
-"""Define what befalls the instances and the gateways of a model."""
+"""Define which instances are throttled and which gateways know each other."""
 
 import random
 from collections.abc import Callable, Sequence
 from dataclasses import dataclass
 
-# Who is known to a gateway by a moment, by number; see `PATTERNS`.
-Views = Callable[[int, int, float], frozenset[int]]
+# Returns the numbers of the gateways that a gateway knows at a given time;
+# see `Pattern`.
+GetView = Callable[[int, int, float], frozenset[int]]
 
-_REGISTERED_WITHIN_MS = 500
-_SPLIT_MS = 1_000
-# Longest time until one gateway hears of another that has registered.
-_HEARD_WITHIN_MS = 1_900
+_MAX_REGISTRATION_MS = 500
+_PARTITION_START_MS = 1_000
+# Maximum time until a gateway discovers another that has registered.
+_MAX_DISCOVERY_MS = 1_900
 
 
 @dataclass(frozen=True, kw_only=True, slots=True)
 class Pattern:
     """
-    Describe one trouble.
+    Define a throttling and membership scenario.
 
     Attributes
     ----------
     throttled_share : float
-        Part of the pool that is throttled from the beginning.
+        Fraction of the pool that is throttled from the start.
     get_view : callable
         Returns the members that a gateway knows, by its number, the number of
         gateways and the time in ms.
     """
 
     throttled_share: float
-    get_view: Views
+    get_view: GetView
 
 
-def _know_all(
+def _view_all(
     _gateway: int,
     gateways: int,
     _now_ms: float,
@@ -39,59 +40,67 @@
     return frozenset(range(gateways))
 
 
-def _know_own_side(
+def _view_own_partition(
     gateway: int,
     gateways: int,
     now_ms: float,
 ) -> frozenset[int]:
-    """Forget the other side once its leases have run out."""
-    everyone = range(gateways)
-    if now_ms < _SPLIT_MS:
-        return frozenset(everyone)
-    return frozenset(one for one in everyone if one % 2 == gateway % 2)
+    """Drop the gateways of the other partition once their leases expire."""
+    gateway_numbers = range(gateways)
+    if now_ms < _PARTITION_START_MS:
+        return frozenset(gateway_numbers)
+    return frozenset(
+        other_gateway
+        for other_gateway in gateway_numbers
+        if other_gateway % 2 == gateway % 2
+    )
 
 
-def _know_registered(
+def _view_registered(
     gateway: int,
     gateways: int,
     now_ms: float,
 ) -> frozenset[int]:
-    """Hear of each other after a while, as all register at the same time."""
+    """Discover other gateways after a delay; all register within 500 ms."""
     return frozenset(
-        one
-        for one in range(gateways)
-        if _get_registered_ms(one) + _get_delay_ms(gateway, one) <= now_ms
+        other_gateway
+        for other_gateway in range(gateways)
+        if _get_registered_ms(other_gateway)
+        + _get_discovery_delay_ms(gateway, other_gateway)
+        <= now_ms
     )
 
 
 def _get_registered_ms(gateway: int) -> float:
     rng = random.Random(gateway)  # noqa: S311
-    return rng.uniform(0, _REGISTERED_WITHIN_MS)
+    return rng.uniform(0, _MAX_REGISTRATION_MS)
 
 
-def _get_delay_ms(gateway: int, other: int) -> float:
+def _get_discovery_delay_ms(gateway: int, other: int) -> float:
     if gateway == other:
         return 0
     rng = random.Random(f'{gateway}/{other}')  # noqa: S311
-    return rng.uniform(0, _HEARD_WITHIN_MS)
+    return rng.uniform(0, _MAX_DISCOVERY_MS)
 
 
 PATTERNS: dict[str, Pattern] = {
-    'one instance': Pattern(throttled_share=0.05, get_view=_know_all),
-    'a failure domain': Pattern(throttled_share=0.35, get_view=_know_all),
-    'the whole pool': Pattern(throttled_share=1, get_view=_know_all),
-    'two sides of a cut': Pattern(throttled_share=1, get_view=_know_own_side),
-    'all gateways new': Pattern(throttled_share=1, get_view=_know_registered),
+    'one instance': Pattern(throttled_share=0.05, get_view=_view_all),
+    'a failure domain': Pattern(throttled_share=0.35, get_view=_view_all),
+    'the whole pool': Pattern(throttled_share=1, get_view=_view_all),
+    'two sides of a cut': Pattern(
+        throttled_share=1, get_view=_view_own_partition
+    ),
+    'all gateways new': Pattern(throttled_share=1, get_view=_view_registered),
 }
 
 
-def count_most(moments_ms: Sequence[float], window_ms: float) -> int:
-    """Return the most moments in any window of a length."""
-    ordered = sorted(moments_ms)
-    most = 0
-    first = 0
-    for position, moment_ms in enumerate(ordered):
-        while moment_ms - ordered[first] >= window_ms:
-            first += 1
-        most = max(most, position - first + 1)
-    return most
+def count_max_in_window(times_ms: Sequence[float], window_ms: float) -> int:
+    """Return the maximum number of times in any window of the given length."""
+    ordered = sorted(times_ms)
+    max_count = 0
+    window_start = 0
+    for position, time_ms in enumerate(ordered):
+        while time_ms - ordered[window_start] >= window_ms:
+            window_start += 1
+        max_count = max(max_count, position - window_start + 1)
+    return max_count
--- a/measure/throttle_model/policies.py
+++ b/measure/throttle_model/policies.py
@@ -1,4 +1,4 @@
-"""Define the ways in which gateways hold back from instances."""
+"""Define the policies by which gateways throttle requests to instances."""
 
 import math
 from collections.abc import Callable, Collection
@@ -15,21 +15,21 @@
 )
 
 SETTLE_MS = 3_000
-_FAR_MS = 1e9
-_SECOND_MS = 1000
+_WARM_UP_END_MS = 1e9
+_MILLISECONDS = 1000
 
 
 class Policy(Protocol):
-    """Decide for one gateway."""
+    """Decide when one gateway may send to throttled instances."""
 
     def set_members(self, members: Collection[str], now_ms: float) -> None:
-        """Take the gateways that are known."""
+        """Set the gateways that are known."""
 
     def may_send(self, instance: str, now_ms: float) -> bool:
-        """Tell whether a throttled instance may get a request."""
+        """Return whether a request may be sent to a throttled instance."""
 
-    def note_sent(self, instance: str, now_ms: float) -> None:
-        """Note a request to such an instance."""
+    def record_sent(self, instance: str, now_ms: float) -> None:
+        """Record a request that was sent to a throttled instance."""
 
 
 MakePolicy = Callable[[str, RateLimits], Policy]
@@ -39,91 +39,91 @@
     """Treat throttled instances like all others."""
 
     def __init__(self, _gateway: str, _limits: RateLimits) -> None:
-        """Know nothing."""
+        """Ignore the limits."""
 
     def set_members(self, members: Collection[str], now_ms: float) -> None:
-        """Need nobody."""
+        """Ignore the members."""
 
     def may_send(self, _instance: str, _now_ms: float) -> bool:
-        """Send always."""
+        """Allow every request."""
         return True
 
-    def note_sent(self, instance: str, now_ms: float) -> None:
-        """Remember nothing."""
+    def record_sent(self, instance: str, now_ms: float) -> None:
+        """Ignore the request."""
 
 
-class Nobody(Unlimited):
-    """Send nothing at all."""
+class NeverSend(Unlimited):
+    """Never send to throttled instances."""
 
     def may_send(self, _instance: str, _now_ms: float) -> bool:
-        """Send never."""
+        """Refuse every request."""
         return False
 
 
 class EqualShare:
-    """Give every gateway the same part of the rate."""
+    """Give every gateway an equal share of the rate."""
 
     def __init__(self, _gateway: str, limits: RateLimits) -> None:
         self._total = min(limits.requests_per_s, limits.burst / 2)
         self._pacer = Pacer()
-        self._share = self._make_share(1)
+        self._quota = self._make_quota(1)
 
     def set_members(self, members: Collection[str], _now_ms: float) -> None:
-        """Share among all that are known."""
-        self._share = self._make_share(max(1, len(members)))
+        """Divide the rate among all known gateways."""
+        self._quota = self._make_quota(max(1, len(members)))
 
     def may_send(self, instance: str, now_ms: float) -> bool:
-        """Keep to the share."""
-        return not self._pacer.get_wait_ms(instance, self._share, now_ms)
+        """Return whether the share allows another request."""
+        return not self._pacer.get_wait_ms(instance, self._quota, now_ms)
 
-    def note_sent(self, instance: str, now_ms: float) -> None:
-        """Count it."""
-        self._pacer.record(instance, (self._share,), now_ms)
+    def record_sent(self, instance: str, now_ms: float) -> None:
+        """Count a request against the limit."""
+        self._pacer.record(instance, (self._quota,), now_ms)
 
-    def _make_share(self, gateways: int) -> SenderQuota:
+    def _make_quota(self, gateways: int) -> SenderQuota:
         requests = max(1, math.floor(self._total / gateways))
         return SenderQuota(
             senders=gateways,
             requests=requests,
-            window_ms=(_SECOND_MS + global_settings.REQUEST_TRANSIT_MS)
+            window_ms=(_MILLISECONDS + global_settings.REQUEST_TRANSIT_MS)
             * max(1, gateways / self._total),
             requests_at_once=requests,
         )
 
 
 class Ranked:
-    """Let the gateways send that rank highest, as the product does."""
+    """Let the highest-ranked gateways send, as the production code does."""
 
-    settle_ms: float = SETTLE_MS
+    propagation_ms: float = SETTLE_MS
 
     def __init__(self, gateway: str, limits: RateLimits) -> None:
         self._limits = limits
         self._throttle = Throttle(
-            gateway=gateway, propagation_ms=self.settle_ms
+            gateway=gateway, propagation_ms=self.propagation_ms
         )
 
     def set_members(self, members: Collection[str], now_ms: float) -> None:
-        """Choose among all that are known."""
+        """Choose senders among all known gateways."""
         self._throttle.senders.set_members(members, now_ms)
 
     def may_send(self, instance: str, now_ms: float) -> bool:
-        """Keep to the share of those that are chosen."""
-        self._throttle.warm_ups.record(instance, _FAR_MS)
+        """Return whether the quota of the chosen senders allows a request."""
+        self._throttle.warm_ups.record(instance, _WARM_UP_END_MS)
         return not self._throttle.get_wait_ms(instance, self._limits, now_ms)
 
-    def note_sent(self, instance: str, now_ms: float) -> None:
-        """Count it."""
+    def record_sent(self, instance: str, now_ms: float) -> None:
+        """Count a request against the limit."""
         self._throttle.record_sent(instance, self._limits, now_ms)
 
 
-class RankedAtOnce(Ranked):
-    """Wrong variant: send before the others have heard of this gateway."""
+class RankedWithoutDelay(Ranked):
+    """Incorrect variant: send before other gateways know of this gateway."""
 
-    settle_ms = 0
+    propagation_ms = 0
 
 
-class Bucket:
-    """Wrong variant: fill a bucket, whose bursts meet at its edges."""
+class FixedWindow:
+    """Incorrect variant: fixed windows, whose bursts meet at the edges."""
 
     def __init__(self, gateway: str, limits: RateLimits) -> None:
         self._senders = Senders(gateway=gateway, propagation_ms=SETTLE_MS)
@@ -131,29 +131,29 @@
         self._sent: dict[tuple[str, int], int] = {}
 
     def set_members(self, members: Collection[str], now_ms: float) -> None:
-        """Choose among all that are known."""
+        """Choose senders among all known gateways."""
         self._senders.set_members(members, now_ms)
 
     def may_send(self, instance: str, now_ms: float) -> bool:
-        """Begin to count anew with each second."""
-        share = derive_quota(self._limits, self._senders.count())
+        """Reset the count at the start of each second."""
+        quota = derive_quota(self._limits, self._senders.count())
         sent = self._sent.get((instance, int(now_ms // 1000)), 0)
-        is_chosen = self._senders.is_chosen(instance, share.senders, now_ms)
-        return is_chosen and sent < 2 * share.requests
+        is_chosen = self._senders.is_chosen(instance, quota.senders, now_ms)
+        return is_chosen and sent < 2 * quota.requests
 
-    def note_sent(self, instance: str, now_ms: float) -> None:
-        """Count it."""
+    def record_sent(self, instance: str, now_ms: float) -> None:
+        """Count a request against the limit."""
         second = (instance, int(now_ms // 1000))
         self._sent[second] = self._sent.get(second, 0) + 1
 
 
 POLICIES: dict[str, MakePolicy] = {
     'as all others': Unlimited,
-    'nobody': Nobody,
+    'nobody': NeverSend,
     'equal share': EqualShare,
     'ranked': Ranked,
 }
 WRONG_VARIANTS: dict[str, MakePolicy] = {
-    'without a time to settle': RankedAtOnce,
-    'with a bucket for each second': Bucket,
+    'without a time to settle': RankedWithoutDelay,
+    'with a bucket for each second': FixedWindow,
 }
