--- a/measure/throttle_model/model.py
+++ b/measure/throttle_model/model.py
@@ -117,7 +117,8 @@
             view_updated_ms[number] = now_ms
             view = pattern.get_view(number, fleet.gateways, now_ms)
             policy.set_members([f'gateway-{one}' for one in view], now_ms)
-        # All gateways read the same reports and consider the same instance idle.
+        # All gateways read the same reports and consider the same instance
+        # idle.
         allowed = next(
             (one for one in throttled if policy.may_send(one, now_ms)),
             '',
--- a/measure/throttle_model/pattern.py
+++ b/measure/throttle_model/pattern.py
@@ -61,7 +61,7 @@
     gateways: int,
     now_ms: float,
 ) -> frozenset[int]:
-    """Discover other gateways after a delay; all register within 500 ms."""
+    """Discover gateways after a delay while all register at the same time."""
     return frozenset(
         other_gateway
         for other_gateway in range(gateways)
