--- a/measure/quarantine_model/model.py
+++ b/measure/quarantine_model/model.py
@@ -155,9 +155,9 @@
             self.counts['harmful quarantined' if is_harmful else 'refused'] += 1
             return
         available = [
-            engine
-            for engine in self._engines
-            if engine.available_ms <= self._now_ms
+            candidate
+            for candidate in self._engines
+            if candidate.available_ms <= self._now_ms
         ]
         if not available:
             self.counts['no engine'] += 1
