--- a/measure/fleet_model/__main__.py
+++ b/measure/fleet_model/__main__.py
@@ -1,4 +1,4 @@
-"""Run scenarios and sweeps of the fleet's model from the command line."""
+"""Run scenarios and parameter sweeps of the fleet simulation."""
 
 from pathlib import Path
 from typing import Annotated
@@ -33,7 +33,7 @@
 
 
 class SavedTable(Message):
-    """Hold what a command printed."""
+    """Hold the table that a command printed."""
 
     load: str
     rows: list[TableRow]
@@ -41,7 +41,7 @@
 
 @application.command
 def days(load: Load = 'kingston', seeds: Seeds = _SEEDS, jobs: Jobs = _JOBS):
-    """Play every pattern, beside the bound of a scheduler that knows all."""
+    """Simulate every pattern and compare it with the clairvoyant bound."""
     rows = []
     for pattern in make_patterns(read_load(load)):
         trials = _make_trials(load, pattern, seeds)
@@ -60,16 +60,16 @@
 
 @application.command
 def hosting(load: Load = 'kingston', seeds: Seeds = _SEEDS, jobs: Jobs = _JOBS):
-    """Weigh who fills the calls of a pool, also when a host fails."""
+    """Compare hosting strategies of schedulers, also when a host fails."""
     rows = []
     patterns = ('calm', 'bursts', 'host-kill', 'host-freeze', 'host-cut')
     for pattern in patterns:
-        for way in Hosting:
-            trials = _make_trials(load, pattern, seeds, way)
+        for strategy in Hosting:
+            trials = _make_trials(load, pattern, seeds, strategy)
             reports = play_all(trials, jobs)
             rows.append(
                 TableRow(
-                    name=f'{pattern}, {way}',
+                    name=f'{pattern}, {strategy}',
                     attained=get_mean(reports),
                     reports=reports,
                 ),
@@ -86,14 +86,14 @@
     jobs: Jobs = _JOBS,
 ):
     """
-    Play every pattern with several values of a default.
+    Simulate every pattern with several values of a default setting.
 
     Parameters
     ----------
     name
-        Name in `ragworthollow.conf.global_settings`.
+        Name of the setting in `ragworthollow.conf.global_settings`.
     values
-        What it is to be in turn.
+        Values of the setting, each simulated in turn.
     """
     rows = []
     for number in values:
@@ -126,7 +126,7 @@
     seed: int = 1,
     out: Path = _OUT,
 ):
-    """Draw attainment, waiting and pool use of one day over time."""
+    """Plot attainment, latency and pool utilisation of one day."""
     day = play_records(Trial(load=load, pattern=pattern, seed=seed))
     path = out / f'{load}-{pattern}-{seed}.png'
     out.mkdir(exist_ok=True)
@@ -137,12 +137,12 @@
 @application.command
 def recorded(log: Path, load: Load = 'kingston'):
     """
-    Bound what could have been attained on a day that gateways logged.
+    Compute an upper bound of attainment for a day logged by gateways.
 
     Parameters
     ----------
     log
-        Lines of all gateways together.
+        File with the concatenated log lines of all gateways.
     """
     print(f'{bound_recorded(read_load(load), log):.3f}')
 
@@ -151,7 +151,7 @@
     load: str,
     pattern: str,
     seeds: int,
-    way: Hosting = Hosting.pool,
+    strategy: Hosting = Hosting.pool,
     settings: tuple[Setting, ...] = (),
 ) -> list[Trial]:
     return [
@@ -159,7 +159,7 @@
             load=load,
             pattern=pattern,
             seed=seed,
-            hosting=way,
+            hosting=strategy,
             settings=settings,
         )
         for seed in range(1, seeds + 1)
--- a/tests/features/steps/lost_calls.py
+++ b/tests/features/steps/lost_calls.py
@@ -1,4 +1,4 @@
-"""Steps of calls, results and gateways that are lost."""
+"""Steps for lost calls, results and gateways."""
 
 import asyncio
 from types import SimpleNamespace
@@ -22,15 +22,15 @@
 from ragworthollow_daemon.gateway.results_in_use import ResultsInUse
 from ragworthollow_daemon.gateway.upstream_failure import UpstreamFailure
 from tests.fixtures.piece_pool import (
-    FAR_MS,
+    DISTANT_EXPIRY_MS,
     RESULT_BYTES,
     PiecePool,
     make_instances,
-    make_waiting,
+    make_waiting_piece,
 )
 
-_SAYS = {'works on nothing': False, 'works': True}
-_ANSWER_MS = 2_000
+_REPORTED_BUSY = {'works on nothing': False, 'works': True}
+_RESPONSE_MS = 2_000
 
 
 @given('a call that is overdue')
@@ -44,76 +44,79 @@
     )
 
 
-def _watch(context, is_working) -> None:
-    async def ask(*_):
-        return is_working
+def _monitor_call(context, is_busy) -> None:
+    async def query(*_):
+        return is_busy
 
-    async def follow():
-        context.slow = []
-        sending = asyncio.ensure_future(asyncio.sleep(_ANSWER_MS / 1000))
-        watch = CallMonitor(context=None, query=ask)
-        context.is_lost = await watch.monitor(
+    async def monitor():
+        context.slow_reports_ms = []
+        response = asyncio.ensure_future(asyncio.sleep(_RESPONSE_MS / 1000))
+        call_monitor = CallMonitor(context=None, query=query)
+        context.is_lost = await call_monitor.monitor(
             context.call,
-            sending,
-            lambda: context.slow.append(context.loop.get_ms()),
+            response,
+            lambda: context.slow_reports_ms.append(context.loop.get_ms()),
         )
-        context.is_answered = sending.done()
-        sending.cancel()
+        context.has_response = response.done()
+        response.cancel()
 
     with override_clocks(context.loop.get_ms):
-        context.loop.run_until_complete(follow())
+        context.loop.run_until_complete(monitor())
     context.ended_ms = context.loop.get_ms()
 
 
-@when('its instance says that it {state}')
-def say(context, state):
-    _watch(context, _SAYS[state])
+@when('its instance reports that it {state}')
+def report_busy_state(context, state):
+    _monitor_call(context, _REPORTED_BUSY[state])
 
 
-@when('its instance does not say')
-def say_nothing(context):
-    _watch(context, None)
+@when('its instance does not report its state')
+def report_nothing(context):
+    _monitor_call(context, None)
 
 
-@then('the call is given up as lost')
+@then('the call is abandoned as lost')
 def check_lost(context):
     assert context.is_lost
-    # Asked once it is a quarter overdue, and an answer may be under way.
+    # Queried once the call is a quarter overdue; the 50 ms are for a response
+    # that may still be in transit.
     assert context.ended_ms == 300 * 1.25 + 50, context.ended_ms
 
 
-@then('the call is noted as slow once and ends with its answer')
+@then('the call is recorded as slow once and ends with its response')
 def check_slow(context):
     assert not context.is_lost
-    assert context.is_answered
-    (noted_ms,) = context.slow
-    assert 300 * 2.5 <= noted_ms < 300 * 3.5, noted_ms
+    assert context.has_response
+    (reported_ms,) = context.slow_reports_ms
+    assert 300 * 2.5 <= reported_ms < 300 * 3.5, reported_ms
 
 
-def _make_outcomes(pool: PiecePool) -> CallResultHandler:
+def _make_result_handler(pool: PiecePool) -> CallResultHandler:
     return CallResultHandler(
         context=SimpleNamespace(
-            load_tracker=pool.book,
+            load_tracker=pool.load_tracker,
             metrics=Metrics(),
             route_table=SimpleNamespace(
                 pools={'p': SimpleNamespace(pieces=pool.profile)},
             ),
             directory=SimpleNamespace(get_pool=lambda _: pool.instances),
             get_budget=lambda _: SimpleNamespace(withdraw=lambda: True),
-            mark_suspect=lambda one: pool.book.record_failure(one.instance, 0),
+            mark_suspect=lambda instance: pool.load_tracker.record_failure(
+                instance.instance, 0
+            ),
             quarantine=SimpleNamespace(get_remaining_ms=lambda _: 0),
         ),
         release=lambda *_: None,
     )
 
 
-@when('the answer to a call of {count:d} pieces is lost')
-def lose_answer(context, count):
+@when('the response to a call of {count:d} pieces is lost')
+def lose_response(context, count):
     context.pool = PiecePool(1, 4)
     for _ in range(count):
-        context.pool.gate.submit(make_waiting(5000))
+        context.pool.scheduler.submit(make_waiting_piece(5000))
     (call,) = context.pool.plan()
-    context.pool.gate.finish(call)
+    context.pool.scheduler.finish(call)
     failure = UpstreamFailure(
         outcome=Outcome.unknown,
         reason=Reason.answer_lost,
@@ -121,100 +124,101 @@
         peer='i0',
     )
     with override_clocks(VirtualLoop().get_ms):
-        _make_outcomes(context.pool).record_failure(
+        _make_result_handler(context.pool).record_failure(
             'p',
-            context.pool.gate,
+            context.pool.scheduler,
             call,
             failure,
         )
 
 
-@then('its instance is trusted, its pieces wait again')
+@then('its instance is not suspected and its pieces are queued again')
 def check_trusted(context):
-    assert context.pool.book.get('i0').suspect_until_ms < 0
-    assert context.pool.gate.get_depth() == 2
+    assert context.pool.load_tracker.get('i0').suspect_until_ms < 0
+    assert context.pool.scheduler.get_depth() == 2
 
 
-@then('its space counts {count:d} results more')
+@then('its result space counts {count:d} more results')
 def check_counted(context, count):
-    used = context.pool.gate.result_space.get_used_bytes(0)
+    used = context.pool.scheduler.result_space.get_used_bytes(0)
     assert used == {'i0': count * RESULT_BYTES}, used
 
 
 @given('a gateway with {count:d} results of its requests at this host')
-def make_asker(context, count):
-    context.askers = RequesterTracker()
-    context.askers.record_ping('g2', 'earlier', 0)
+def make_requester(context, count):
+    context.requester_tracker = RequesterTracker()
+    context.requester_tracker.record_ping('g2', 'earlier', 0)
     context.pool = PiecePool(1, 4)
-    gate = context.pool.gate
+    scheduler = context.pool.scheduler
     for number in range(count):
-        gate.result_space.add(
+        scheduler.result_space.add(
             StoredResult(
                 handle=f'h{number}',
                 instance='i0',
                 result_bytes=RESULT_BYTES,
-                expires_ms=FAR_MS,
+                expires_ms=DISTANT_EXPIRY_MS,
                 requester='earlier',
             ),
         )
-    context.waiting = make_waiting(5000, requester='earlier')
-    gate.submit(context.waiting)
+    context.waiting = make_waiting_piece(5000, requester='earlier')
+    scheduler.submit(context.waiting)
 
 
 @when('another process of its name pings this host')
-def ping_anew(context):
-    context.askers.record_ping('g2', 'later', 100)
+def ping_from_new_incarnation(context):
+    context.requester_tracker.record_ping('g2', 'later', 100)
 
 
-@then('its results are given up and its pieces are wanted no more')
-def check_given_up(context):
-    (gone,) = context.askers.pop_terminated(100)
-    gate = context.pool.gate
-    assert gate.result_space.find_handles(gone) == ('h0', 'h1')
-    gate.cancel_requester(gone)
+@then('its results are released and its pieces are no longer awaited')
+def check_released(context):
+    (terminated,) = context.requester_tracker.pop_terminated(100)
+    scheduler = context.pool.scheduler
+    assert scheduler.result_space.find_handles(terminated) == ('h0', 'h1')
+    scheduler.cancel_requester(terminated)
     assert not context.waiting.is_awaited
-    assert not context.askers.pop_terminated(100)
+    assert not context.requester_tracker.pop_terminated(100)
 
 
-@then('it counts as gone only after more than a second of silence')
-def check_silence(context):
-    assert not context.askers.pop_terminated(1000)
-    context.askers.record_ping('g2', 'earlier', 1000)
-    assert not context.askers.pop_terminated(2000)
-    assert context.askers.pop_terminated(2001) == ['earlier']
+@then('it counts as terminated only after more than a second without a ping')
+def check_terminated_when_silent(context):
+    assert not context.requester_tracker.pop_terminated(1000)
+    context.requester_tracker.record_ping('g2', 'earlier', 1000)
+    assert not context.requester_tracker.pop_terminated(2000)
+    assert context.requester_tracker.pop_terminated(2001) == ['earlier']
 
 
-@given('results of which 2 of 3 are still held')
+@given('results of which 2 of 3 are still in use')
 def hold_results(context):
-    context.held = ResultsInUse()
+    context.results_in_use = ResultsInUse()
     for handle in ('a', 'b', 'c'):
-        context.held.add(
+        context.results_in_use.add(
             'p',
             [
                 StoredResult(
                     handle=handle,
                     instance='i0',
                     result_bytes=1,
-                    expires_ms=FAR_MS,
+                    expires_ms=DISTANT_EXPIRY_MS,
                 ),
             ],
         )
-    context.held.remove('p', ['b'])
-    # The host that made them knows of them.
-    assert not context.held.collect_for_host('p', 'host', 0)
+    context.results_in_use.remove('p', ['b'])
+    # The host that scheduled their calls has recorded them already.
+    assert not context.results_in_use.collect_for_host('p', 'host', 0)
 
 
-@when('the gate has another host')
+@when('the scheduler has another host')
 def change_host(context):
-    context.told = [
-        context.held.collect_for_host('p', 'next', 0) for _ in range(2)
+    context.reported_results = [
+        context.results_in_use.collect_for_host('p', 'next', 0)
+        for _ in range(2)
     ]
 
 
-@then('that host is told of 2 results, and of none the next time')
-def check_told(context):
-    first, second = context.told
-    assert [one.handle for one in first] == ['a', 'c'], first
+@then('that host is notified of 2 results, and of none the next time')
+def check_reported(context):
+    first, second = context.reported_results
+    assert [result.handle for result in first] == ['a', 'c'], first
     assert not second
 
 
@@ -224,44 +228,44 @@
 
 
 @when('8 pieces of both domains wait, those of each due in turn')
-def wait_in_turn(context):
+def queue_alternating_domains(context):
     for number in range(8):
         domain = ('one', 'two')[number % 2]
-        context.pool.gate.submit(
-            make_waiting(5000 + number, failure_domain=domain),
+        context.pool.scheduler.submit(
+            make_waiting_piece(5000 + number, failure_domain=domain),
         )
     context.calls = context.pool.plan()
 
 
 @then('each call carries the pieces of its own domain')
-def check_own(context):
+def check_own_domain(context):
     assert len(context.calls) == 2
     for call in context.calls:
-        domains = {one.piece.failure_domain for one in call.pieces}
+        domains = {waiting.piece.failure_domain for waiting in call.pieces}
         assert domains == {call.instance.failure_domain}, domains
         assert len(call.pieces) == 4
 
 
-@when('the near instance is busy and a piece for it is due at once')
-def make_urgent(context):
-    gate = context.pool.gate
+@when('the local instance is busy and a piece for it is due at once')
+def queue_urgent_piece(context):
+    scheduler = context.pool.scheduler
     for number in range(4):
-        gate.submit(make_waiting(number, failure_domain='two'))
+        scheduler.submit(make_waiting_piece(number, failure_domain='two'))
     (busy,) = context.pool.plan()
     assert busy.instance.failure_domain == 'two'
-    gate.submit(make_waiting(20, failure_domain='two'))
+    scheduler.submit(make_waiting_piece(20, failure_domain='two'))
     for number in range(4):
-        gate.submit(make_waiting(30 + number, failure_domain='one'))
+        scheduler.submit(make_waiting_piece(30 + number, failure_domain='one'))
     (context.call,) = context.pool.plan(1)
 
 
-@then('the other instance makes it first')
+@then('the other instance processes it first')
 def check_urgent(context):
     assert context.call.instance.failure_domain == 'one'
     assert context.call.pieces[0].piece.failure_domain == 'two'
 
 
-@given('members of which the first in rank for a pool answers')
+@given('members of which the first in rank for a pool responds')
 def make_members(context):
     context.members = GatewayMembers(instance='g0')
     context.members.replace(
@@ -278,18 +282,20 @@
         for name in map(str, range(100))
         if context.members.find_highest_ranked(name).instance != 'g0'
     )
-    context.first = context.members.find_highest_ranked(context.pool_name)
-    context.pings = HostPinger(
+    context.first_ranked = context.members.find_highest_ranked(
+        context.pool_name
+    )
+    context.host_pinger = HostPinger(
         context=SimpleNamespace(),
         members=context.members,
         announced=None,
-        apply_update=lambda _news, _asked_ms: False,
+        apply_update=lambda _update, _sent_ms: False,
     )
 
 
-def _answer(context, *, can_host: bool) -> None:
-    state = HostState(instance=context.first.instance, can_host=can_host)
-    context.pings.apply_state(context.first, state)
+def _apply_host_state(context, *, can_host: bool) -> None:
+    state = HostState(instance=context.first_ranked.instance, can_host=can_host)
+    context.host_pinger.apply_state(context.first_ranked, state)
 
 
 def _find_host(context) -> str:
@@ -297,31 +303,31 @@
     return 'g0' if host is None else host.instance
 
 
-@when('it says that it knows no instances')
-def say_blind(context):
-    _answer(context, can_host=True)
-    assert _find_host(context) == context.first.instance
-    _answer(context, can_host=False)
+@when('it reports that it knows no instances')
+def report_no_instances(context):
+    _apply_host_state(context, can_host=True)
+    assert _find_host(context) == context.first_ranked.instance
+    _apply_host_state(context, can_host=False)
 
 
-@then('the next in rank hosts the gate')
-def check_next(context):
-    assert _find_host(context) != context.first.instance
+@then('the next in rank hosts the scheduler')
+def check_next_host(context):
+    assert _find_host(context) != context.first_ranked.instance
 
 
 @then('it hosts it again when it knows them')
-def check_again(context):
-    _answer(context, can_host=True)
-    assert _find_host(context) == context.first.instance
+def check_first_host(context):
+    _apply_host_state(context, can_host=True)
+    assert _find_host(context) == context.first_ranked.instance
 
 
-@when('the loop of a gateway that follows the store ends by an error')
+@when('the loop of a gateway that polls the store ends with an error')
 def end_loop(context):
-    context.stops = []
-    asyncio.run(_end_loop(context.stops))
+    context.shutdown_requests = []
+    asyncio.run(_end_loop(context.shutdown_requests))
 
 
-async def _end_loop(stops: list[bool]) -> None:
+async def _end_loop(shutdown_requests: list[bool]) -> None:
     settings = GatewaySettings(
         role='gateway',
         instance='g1',
@@ -333,7 +339,7 @@
     )
     gateway = GatewayContext(
         settings=settings,
-        request_shutdown=lambda: stops.append(True),
+        request_shutdown=lambda: shutdown_requests.append(True),
     )
     gateway.spawn_loop(_fail())
     await asyncio.sleep(0)
@@ -345,6 +351,6 @@
     raise ValueError
 
 
-@then('the gateway asks to be stopped')
-def check_stopped(context):
-    assert context.stops == [True]
+@then('the gateway requests its shutdown')
+def check_shutdown_requested(context):
+    assert context.shutdown_requests == [True]
--- a/tests/features/steps/pieces.py
+++ b/tests/features/steps/pieces.py
@@ -1,4 +1,4 @@
-"""Steps of the gates that fill calls with pieces."""
+"""Steps for the schedulers that batch pieces into calls."""
 
 from behave import given, then, when
 from hypothesis import given as for_all
@@ -12,11 +12,11 @@
 )
 from tests.fixtures.gate_model import GateModel
 from tests.fixtures.piece_pool import (
-    FAR_MS,
-    NOTHING,
+    DISTANT_EXPIRY_MS,
+    NO_ANNOUNCED_PIECES,
     PiecePool,
     make_profile,
-    make_waiting,
+    make_waiting_piece,
 )
 
 
@@ -26,19 +26,19 @@
 
 
 @given('a pool of 2 instances in domains one and two with calls of 1 piece')
-def make_two(context):
+def make_two_domains(context):
     context.pool = PiecePool(2, 1)
 
 
 @given('space for {results:d} results at each instance')
-def limit_space(context, results):
+def limit_result_space(context, results):
     context.pool.profile = make_profile(4, results)
 
 
-@when('{count:d} requests bring 1 piece each')
-def bring(context, count):
+@when('{count:d} requests submit 1 piece each')
+def queue_pieces(context, count):
     for number in range(count):
-        context.pool.gate.submit(make_waiting(500 + number))
+        context.pool.scheduler.submit(make_waiting_piece(500 + number))
     context.calls = context.pool.plan()
 
 
@@ -49,9 +49,9 @@
 
 
 @when('pieces due in {first:d}, {second:d} and {third:d} ms wait')
-def wait_three(context, first, second, third):
+def queue_three_pieces(context, first, second, third):
     for due_ms in (first, second, third):
-        context.pool.gate.submit(make_waiting(due_ms))
+        context.pool.scheduler.submit(make_waiting_piece(due_ms))
     context.order = context.pool.run_all()
 
 
@@ -59,9 +59,9 @@
     'a piece of priority {low:d} due in {early:d} ms '
     'and one of priority {high:d} due in {late:d} ms wait',
 )
-def wait_ranked(context, low, early, high, late):
-    context.pool.gate.submit(make_waiting(early, priority=low))
-    context.pool.gate.submit(make_waiting(late, priority=high))
+def queue_by_priority(context, low, early, high, late):
+    context.pool.scheduler.submit(make_waiting_piece(early, priority=low))
+    context.pool.scheduler.submit(make_waiting_piece(late, priority=high))
     context.order = context.pool.run_all()
 
 
@@ -74,57 +74,59 @@
 @when(
     'a request of 3 pieces due in 900 ms has begun and others due earlier come'
 )
-def begin(context):
+def start_request(context):
     stage_run = StageRun()
-    gate = context.pool.gate
+    scheduler = context.pool.scheduler
     for number in range(3):
-        gate.submit(make_waiting(900, number=number, stage_run=stage_run))
+        scheduler.submit(
+            make_waiting_piece(900, number=number, stage_run=stage_run)
+        )
     (call,) = context.pool.plan()
     for due_ms in (100, 200, 300):
-        gate.submit(make_waiting(due_ms))
-    gate.finish(call)
+        scheduler.submit(make_waiting_piece(due_ms))
+    scheduler.finish(call)
     (context.call,) = context.pool.plan()
 
 
 @then('its last piece is in the next call')
-def check_begun(context):
-    dues = [one.piece.due_ms for one in context.call.pieces]
-    assert dues == [900, 100], dues
+def check_next_call(context):
+    due_times_ms = [waiting.piece.due_ms for waiting in context.call.pieces]
+    assert due_times_ms == [900, 100], due_times_ms
 
 
 @then('one call carries {count:d} pieces and {left:d} wait')
-def check_space(context, count, left):
+def check_call_size(context, count, left):
     (call,) = context.calls
     assert len(call.pieces) == count
-    assert context.pool.gate.get_depth() == left
+    assert context.pool.scheduler.get_depth() == left
 
 
-@then('the others follow once the results are freed')
-def check_freed(context):
-    gate = context.pool.gate
+@then('the others follow once the results are released')
+def check_after_release(context):
+    scheduler = context.pool.scheduler
     (call,) = context.calls
-    gate.finish(call)
+    scheduler.finish(call)
     for number, waiting in enumerate(call.pieces):
-        gate.result_space.add(
+        scheduler.result_space.add(
             StoredResult(
                 handle=f'h{number}',
                 instance=call.instance.instance,
                 result_bytes=waiting.piece.result_bytes,
-                expires_ms=FAR_MS,
+                expires_ms=DISTANT_EXPIRY_MS,
             ),
         )
     assert not context.pool.plan()
-    assert gate.result_space.release('h0', 0) == 'i0'
-    assert not gate.result_space.release('h0', 0)
+    assert scheduler.result_space.release('h0', 0) == 'i0'
+    assert not scheduler.result_space.release('h0', 0)
     (call,) = context.pool.plan()
     assert len(call.pieces) == 1
 
 
 @when('a piece for domain two waits while its instance will be idle in 50 ms')
-def occupy_near(context):
-    gate = context.pool.gate
+def occupy_local_instance(context):
+    scheduler = context.pool.scheduler
     context.pool.instances.reverse()
-    gate.submit(make_waiting(0, failure_domain='two'))
+    scheduler.submit(make_waiting_piece(0, failure_domain='two'))
     (call,) = context.pool.plan()
     assert call.instance.failure_domain == 'two'
     context.now_ms = call.expected_ms - 50
@@ -136,10 +138,12 @@
 )
 def check_held(context, long_ms, short_ms):
     now_ms = context.now_ms
-    gate = context.pool.gate
-    gate.submit(make_waiting(now_ms + long_ms, failure_domain='two'))
+    scheduler = context.pool.scheduler
+    scheduler.submit(make_waiting_piece(now_ms + long_ms, failure_domain='two'))
     assert not context.pool.plan(now_ms)
-    gate.submit(make_waiting(now_ms + short_ms, failure_domain='two'))
+    scheduler.submit(
+        make_waiting_piece(now_ms + short_ms, failure_domain='two')
+    )
     (call,) = context.pool.plan(now_ms)
     assert call.instance.failure_domain == 'one'
     assert call.pieces[0].piece.due_ms == now_ms + short_ms
@@ -150,48 +154,50 @@
     pool = context.pool
     context.lateness = []
     for _ in range(6):
-        waiting = make_waiting(700)
-        wait_ms = pool.gate.estimate_wait_ms(pool.profile, 1, waiting.piece, 0)
+        waiting = make_waiting_piece(700)
+        wait_ms = pool.scheduler.estimate_wait_ms(
+            pool.profile, 1, waiting.piece, 0
+        )
         context.lateness.append(wait_ms - 700)
-        pool.gate.submit(waiting)
+        pool.scheduler.submit(waiting)
         pool.plan()
 
 
-@then('the gate expects those beyond the third to be late')
-def check_expected(context):
+@then('the scheduler expects the pieces beyond the third to be late')
+def check_lateness(context):
     late = [late_ms > 0 for late_ms in context.lateness]
     assert late == [False, False, False, False, True, True], context.lateness
 
 
-@when('a piece waits whose caller has left')
-def leave(context):
-    waiting = make_waiting(500)
-    context.pool.gate.submit(waiting)
+@when('a piece waits whose caller has disconnected')
+def queue_unawaited_piece(context):
+    waiting = make_waiting_piece(500)
+    context.pool.scheduler.submit(waiting)
     waiting.is_awaited = False
 
 
 @then('no call is made')
 def check_no_call(context):
     assert not context.pool.plan()
-    assert not context.pool.gate.get_depth()
+    assert not context.pool.scheduler.get_depth()
 
 
 @when('pieces that have missed their objective by a second wait')
-def wait_late(context):
-    context.settled = []
+def queue_late_pieces(context):
+    context.piece_results = []
     context.pool.instances.clear()
     for inputs in ((), ('10.0.0.1:1/x',)):
-        waiting = make_waiting(0, inputs=inputs)
-        waiting.on_result = context.settled.append
-        context.pool.gate.submit(waiting)
+        waiting = make_waiting_piece(0, inputs=inputs)
+        waiting.on_result = context.piece_results.append
+        context.pool.scheduler.submit(waiting)
     context.pool.plan(1000)
 
 
-@then('the one without work is given up and the one with inputs is not')
-def check_given_up(context):
-    (found,) = context.settled
-    assert found.outcome is PieceOutcome.not_run
-    assert context.pool.gate.get_depth() == 1
+@then('the piece without work is abandoned and the piece with inputs is not')
+def check_not_run(context):
+    (result,) = context.piece_results
+    assert result.outcome is PieceOutcome.not_run
+    assert context.pool.scheduler.get_depth() == 1
 
 
 _STEPS = st.lists(
@@ -205,7 +211,7 @@
 )
 
 
-@when('any pieces come, calls end or fail and results are freed')
+@when('any pieces arrive, calls end or fail and results are released')
 def explore(context):
     context.checked = 0
 
@@ -228,19 +234,23 @@
 
 
 @when('{urgent:d} pieces of priority 0 and {other:d} of priority 2 wait')
-def wait_kinds(context, urgent, other):
+def queue_two_priorities(context, urgent, other):
     for number in range(urgent + other):
         priority = 0 if number < urgent else 2
-        context.pool.gate.submit(make_waiting(5000, priority=priority))
+        context.pool.scheduler.submit(
+            make_waiting_piece(5000, priority=priority)
+        )
 
 
 @then(
     'a new one of priority 0 expects {urgent:d} calls before it '
     'and one of 2 all {everything:d}',
 )
-def check_kinds(context, urgent, everything):
+def check_expected_waits(context, urgent, everything):
     pool = context.pool
-    waits_ms = pool.gate.estimate_waits_ms(pool.profile, 1, NOTHING, 0)
+    waits_ms = pool.scheduler.estimate_waits_ms(
+        pool.profile, 1, NO_ANNOUNCED_PIECES, 0
+    )
     call_ms = pool.profile.estimate_ms(1)
     assert waits_ms[0] == urgent * call_ms, waits_ms
     assert waits_ms[2] == everything * call_ms, waits_ms
